--- a/directory/src/driver/mod.rs
+++ b/directory/src/driver/mod.rs
@@ -18,9 +18,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
-use wire::{Frame, PeerRequest, PeerResponse, Validity, LEASE_MS};
-use yard::now;
-use yard::web::Refusal;
+use protocol::{Frame, PeerRequest, PeerResponse, Validity, LEASE_MS};
+use transport::now;
+use transport::web::Refusal;
 
 const ASK_PATIENCE_MS: u64 = 1_500;
 /// Between two questions whether this node may stop.
@@ -192,7 +192,7 @@
             if is_deposed || matches!(reply, PeerResponse::Submitted(_)) {
                 return reply;
             }
-            tokio::time::sleep(yard::jitter(120)).await;
+            tokio::time::sleep(transport::jitter(120)).await;
         }
         reply
     }
@@ -261,7 +261,7 @@
             if self.cluster_status.borrow().leader.is_some() {
                 led_at = now();
             }
-            tokio::time::sleep(yard::jitter(LEAVE_RETRY_MS)).await;
+            tokio::time::sleep(transport::jitter(LEAVE_RETRY_MS)).await;
         }
         log::warn!("stops though the others may lack what counts: no leader says otherwise");
     }
--- a/directory/src/driver/thread/mod.rs
+++ b/directory/src/driver/thread/mod.rs
@@ -23,9 +23,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
-use wire::{Frame, FrontShares, PeerResponse};
-use yard::counters::Counters;
-use yard::now;
+use protocol::{Frame, FrontShares, PeerResponse};
+use transport::counters::Counters;
+use transport::now;
 
 pub(super) const RING: usize = 4096;
 
--- a/directory/src/driver/thread/requests.rs
+++ b/directory/src/driver/thread/requests.rs
@@ -8,8 +8,8 @@
 use residency::Outcome;
 use std::sync::atomic::Ordering;
 use tokio::sync::oneshot;
-use wire::{Frame, FrontDemand, FrontShares, PeerRequest, PeerResponse};
-use yard::now;
+use protocol::{Frame, FrontDemand, FrontShares, PeerRequest, PeerResponse};
+use transport::now;
 
 impl DriverThread {
     /// A question from this process: answered here by the leader, else there.
--- a/directory/src/driver/thread/status.rs
+++ b/directory/src/driver/thread/status.rs
@@ -4,7 +4,7 @@
 use crate::driver::{ClusterStatus, MembershipReport};
 use consensus::node::Role;
 use consensus::{Member, Membership};
-use wire::PeerResponse;
+use protocol::PeerResponse;
 
 pub(super) fn describe(members: &Membership) -> String {
     let names = |members: &[Member]| {
--- a/directory/src/engine_discovery.rs
+++ b/directory/src/engine_discovery.rs
@@ -60,15 +60,15 @@
     let mut cluster_status = control.driver.cluster_status.clone();
     let mut fewer_since = None;
     while cluster_status.wait_for(|cluster_status| cluster_status.is_leader).await.is_ok() {
-        tokio::time::sleep(yard::jitter(900)).await;
+        tokio::time::sleep(transport::jitter(900)).await;
         // Based on the count that it differs from.
         let base = control.base();
         let (seen, known) = (control.fronts.lock().count() as u32, control.look(|s| s.view.fleet));
         if seen >= known {
             fewer_since = None;
         }
-        let since = *fewer_since.get_or_insert(yard::now());
-        let is_news = seen > known || seen < known && yard::now() > since + FEWER_MS;
+        let since = *fewer_since.get_or_insert(transport::now());
+        let is_news = seen > known || seen < known && transport::now() > since + FEWER_MS;
         if let Some(term) = control.leads_in().filter(|_| is_news) {
             let id = format!("fleet-{:016x}", rand::random::<u64>());
             let proposal = Proposal { id, base, command: Command::Fleet(seen) };
@@ -100,10 +100,10 @@
     if !control.confirm_within(patience).await {
         anyhow::bail!("no majority confirms that this node leads");
     }
-    let (at, base) = (yard::now(), control.base());
+    let (at, base) = (transport::now(), control.base());
     let listed = tokio::time::timeout(patience, (listing.ask)()).await??;
     let Some(command) = control.look(|state| news(&state.view, listed)) else { return Ok(()) };
-    if yard::now() > at + STALE_MS {
+    if transport::now() > at + STALE_MS {
         anyhow::bail!("it came too late to be of use");
     }
     // Based on what was known when it was asked for: what has changed meanwhile is
--- a/directory/src/forwarding.rs
+++ b/directory/src/forwarding.rs
@@ -6,7 +6,7 @@
 //! the leader's replies; what is late by that clock is not proposed.
 
 use consensus::{NodeId, Term};
-use wire::{PeerRequest, Validity};
+use protocol::{PeerRequest, Validity};
 
 /// The leader's clock as far as it is known here. Invariant: the estimate is never
 /// ahead of the clock, so a deadline by it is never later than it was meant.
--- a/directory/src/jobs.rs
+++ b/directory/src/jobs.rs
@@ -6,7 +6,7 @@
 use anyhow::{anyhow, bail};
 use bytes::Bytes;
 use http_body_util::BodyExt;
-use language::{Extract, Field, Head, Prompt};
+use policy::{Extract, Field, Head, Prompt};
 use placement::{Event, Job, Outcome};
 use residency::Mapping;
 use std::pin::pin;
@@ -15,10 +15,10 @@
 use tokio::io::AsyncRead;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use wire::{Frame, JobHead};
-use yard::dispatch::{headers_of, headers_to, step, Carried, Parts, Piped};
-use yard::web::{self, Refusal};
-use yard::{link, now};
+use protocol::{Frame, JobHead};
+use transport::dispatch::{headers_of, headers_to, step, Carried, Parts, Piped};
+use transport::web::{self, Refusal};
+use transport::{link, now};
 
 /// A body whose key is not found within this is refused.
 const SEARCH_CAP: usize = 1 << 20;
@@ -203,7 +203,7 @@
     let with_head = |ask: &mut dyn FnMut(&Head)| {
         let (path, query) = head.target.split_once('?').unwrap_or((&head.target, ""));
         let header = |name: &str| headers.get(name)?.to_str().ok().map(String::from);
-        let draw = language::mark(head.id.as_bytes());
+        let draw = policy::mark(head.id.as_bytes());
         ask(&Head { method: &head.method, path, query, header: &header, draw });
     };
     let mut route = None;
@@ -239,7 +239,7 @@
     let Field::Known(key) = &extract.tenant else {
         return refuse(401, "no-key", "no tenant key is to be found in this job");
     };
-    let key = language::fingerprint(key);
+    let key = policy::fingerprint(key);
     let Some(tenant) = view.keys.get(&key) else {
         return refuse(401, "unknown-key", "this tenant key is not known");
     };
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -28,11 +28,11 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{Frame, Front, PeerRequest, PeerResponse};
-use yard::counters::Counters;
-use yard::dispatch::Dispatcher;
-use yard::quota::Quota;
-use yard::roster::Roster;
+use protocol::{Frame, Front, PeerRequest, PeerResponse};
+use transport::counters::Counters;
+use transport::dispatch::Dispatcher;
+use transport::quota::Quota;
+use transport::roster::Roster;
 
 #[derive(Clone, Copy, PartialEq)]
 pub enum Flavour {
@@ -80,7 +80,7 @@
 pub struct Server {
     pub address: SocketAddr,
     pub body_cap: usize,
-    pub handler: Box<dyn FnOnce(Arc<ControlPlane>) -> yard::web::Handler + Send>,
+    pub handler: Box<dyn FnOnce(Arc<ControlPlane>) -> transport::web::Handler + Send>,
 }
 
 /// What is told of a node that is up.
@@ -130,7 +130,7 @@
     pub async fn confirm_within(&self, patience: Duration) -> bool {
         let ask = async {
             while !self.confirm().await {
-                tokio::time::sleep(yard::jitter(60)).await;
+                tokio::time::sleep(transport::jitter(60)).await;
             }
         };
         tokio::time::timeout(patience, ask).await.is_ok()
@@ -309,7 +309,7 @@
     let mut servers = vec![operator_api::serve(Arc::clone(&control), settings.desk)?];
     for front in ports.fronts {
         let handler = (front.handler)(Arc::clone(&control));
-        servers.push(yard::web::serve(front.address, front.body_cap, handler)?);
+        servers.push(transport::web::serve(front.address, front.body_cap, handler)?);
     }
     tokio::spawn(peers::accept(Arc::clone(&control), listener));
     if founds {
@@ -335,7 +335,7 @@
         tokio::spawn(engine_discovery::run(Arc::clone(&control), listing));
     }
     log::info!(identity = format!("{identity:016x}"); "directory node is up at {address}");
-    yard::wait_for_end().await?;
+    transport::wait_for_end().await?;
     log::info!("stopping");
     control.driver.prepare_to_stop(identity, settings.leave_patience).await;
     // Jobs that are being relayed get a bounded time to finish.
--- a/directory/src/main.rs
+++ b/directory/src/main.rs
@@ -3,7 +3,7 @@
 use consensus::node::Timing;
 use directory::{Flavour, Ports, Settings};
 use std::time::Duration;
-use yard::boot::{setting, Boot, Setting};
+use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("name", "NAME", "this node's name, unique in the cluster", None),
@@ -59,7 +59,7 @@
     }
     boot.finish();
     let run = || {
-        yard::logs::start("directory", &settings.name, &level)?;
+        transport::logs::start("directory", &settings.name, &level)?;
         directory::run(settings, Ports::default())
     };
     if let Err(error) = run() {
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{PeerRequest, PeerResponse};
-use yard::web::{self, Request, Response};
+use protocol::{PeerRequest, PeerResponse};
+use transport::web::{self, Request, Response};
 
 type Server = dropshot::HttpServer<web::Handler>;
 
@@ -39,7 +39,7 @@
     match (request.method().as_str(), path.as_str()) {
         ("GET", "/vitals") => vitals(control),
         ("GET", "/counters") => web::json(200, &control.counters.value()),
-        ("GET", "/traffic") => web::json(200, &yard::traffic::value()),
+        ("GET", "/traffic") => web::json(200, &transport::traffic::value()),
         ("GET", "/status") => status(control).await,
         ("GET", "/book") => book(control).await,
         ("GET", "/explain") => explain(control, &request),
@@ -193,14 +193,14 @@
         Err((code, text)) => return refused(404, code, text),
     };
     let view = control.driver.view.borrow().clone();
-    let prompt = language::Prompt::default();
+    let prompt = policy::Prompt::default();
     let wanted = placement::Wanted { prompt: &prompt, prefix, avoid: &[] };
     let (engine, why) = match control.dispatcher.roster.elect(&view, &mapping, &wanted) {
-        yard::roster::Elected::Engine(seat) => {
+        transport::roster::Elected::Engine(seat) => {
             (Some(seat.name.clone()), "ranks first for this prefix among those with room")
         }
-        yard::roster::Elected::Full => (None, "all that are allowed are at their limit"),
-        yard::roster::Elected::Nobody => (None, "none that is allowed is in sight"),
+        transport::roster::Elected::Full => (None, "all that are allowed are at their limit"),
+        transport::roster::Elected::Nobody => (None, "none that is allowed is in sight"),
     };
     let list = |names: &[Name]| names.iter().map(|name| name.0.clone()).collect::<Vec<String>>();
     let value = json!({
@@ -291,7 +291,7 @@
     let digest = || {
         let key = text("key")?;
         match (8..=256).contains(&key.len()) {
-            true => Ok(language::fingerprint(&key)),
+            true => Ok(policy::fingerprint(&key)),
             false => Err("key: a tenant key has 8 to 256 characters".to_string()),
         }
     };
--- a/directory/src/orders.rs
+++ b/directory/src/orders.rs
@@ -9,7 +9,7 @@
 use consensus::Term;
 use residency::{Command, Outcome, Proposal};
 use std::time::Duration;
-use wire::PeerResponse;
+use protocol::PeerResponse;
 
 /// The base of a change that is built on nothing: index 1 founds the cluster.
 const FOUNDED: u64 = 1;
@@ -26,7 +26,7 @@
         contact: Duration,
         patience: Duration,
     ) -> PeerResponse {
-        let now = yard::now();
+        let now = transport::now();
         let (until, contact_until) =
             (now + patience.as_millis() as u64, now + contact.as_millis() as u64);
         if !self.confirm_within(contact).await {
@@ -41,7 +41,7 @@
             }
             // A caller that has heard nothing for longer than that may have gone to
             // another node, and on to an order to the contrary.
-            let is_late = yard::now() >= contact_until;
+            let is_late = transport::now() >= contact_until;
             if is_late || !self.confirm_within(left(contact_until)).await {
                 return PeerResponse::NotLeader;
             }
@@ -51,7 +51,7 @@
     /// Submits a change that states what it was built on, until its outcome is known
     /// or patience ends.
     pub async fn submit(&self, proposal: Proposal, patience: Duration) -> PeerResponse {
-        self.driver.submit(proposal, yard::now() + patience.as_millis() as u64).await
+        self.driver.submit(proposal, transport::now() + patience.as_millis() as u64).await
     }
 
     /// Submits what this node found due as the leader of a term, until the outcome is
@@ -62,7 +62,7 @@
         term: Term,
         patience: Duration,
     ) -> PeerResponse {
-        let until = yard::now() + patience.as_millis() as u64;
+        let until = transport::now() + patience.as_millis() as u64;
         self.driver.submit_as_leader(proposal, term, until).await
     }
 
@@ -79,5 +79,5 @@
 }
 
 fn left(until: u64) -> Duration {
-    Duration::from_millis(until.saturating_sub(yard::now()))
+    Duration::from_millis(until.saturating_sub(transport::now()))
 }
--- a/directory/src/peers.rs
+++ b/directory/src/peers.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use wire::{Frame, Kind, PeerRequest, PeerResponse};
-use yard::{link, now};
+use protocol::{Frame, Kind, PeerRequest, PeerResponse};
+use transport::{link, now};
 
 const QUEUE: usize = 1024;
 /// Without a leader for this long, a node asks whether it still counts in.
@@ -118,13 +118,13 @@
                     if let Err(error) = self.connected(to, stream, first, &mut frames).await {
                         log::debug!(to = address.as_str(); "link: {error:#}");
                     }
-                    tokio::time::sleep(yard::jitter(60)).await;
+                    tokio::time::sleep(transport::jitter(60)).await;
                     // What waited all that time is stale by now.
                     while frames.try_recv().is_ok() {}
                 }
                 Err(error) => {
                     log::debug!(to = address.as_str(); "link: {error:#}");
-                    tokio::time::sleep(yard::jitter(30)).await;
+                    tokio::time::sleep(transport::jitter(30)).await;
                     // The newest one is sent as soon as the other side is there,
                     // unless it is stale by then.
                     held = Some((first, since));
@@ -153,7 +153,7 @@
                     let Some(frame) = frame else { return Ok(()) };
                     tokio::time::timeout(link::PATIENCE, link::send(&mut writer, &frame)).await??;
                 }
-                back = link::receive(&mut reader, wire::HELLO_CAP) => {
+                back = link::receive(&mut reader, protocol::HELLO_CAP) => {
                     match back? {
                         Some(Frame::Refused { text }) => {
                             log::warn!("{to} refuses this node: {text}");
@@ -205,7 +205,7 @@
     // terms and rounds and may be late; reports of routers say only how old they
     // were when they were sent.
     let mut may_be_late = false;
-    while let Some(frame) = link::receive(&mut stream, wire::CAP).await? {
+    while let Some(frame) = link::receive(&mut stream, protocol::CAP).await? {
         may_be_late |= now() - std::mem::replace(&mut heard_at, now()) >= subscriptions::SILENCE_MS;
         let Some(frame) = control.peers.admit(&mut peer, frame)? else { continue };
         match frame {
@@ -276,7 +276,7 @@
         if is_blank || has_moved || now() > led + ALONE_MS {
             ask_seeds(&control).await;
         }
-        tokio::time::sleep(yard::jitter(if is_blank { BLANK_MS } else { CALM_MS })).await;
+        tokio::time::sleep(transport::jitter(if is_blank { BLANK_MS } else { CALM_MS })).await;
     }
 }
 
@@ -305,7 +305,7 @@
         link::dial(control.source, seed, Kind::Directory, &control.member.name).await?;
     link::send(&mut stream, &Frame::Join(control.member.clone())).await?;
     let patience = Duration::from_secs(3);
-    match tokio::time::timeout(patience, link::receive(&mut stream, wire::HELLO_CAP)).await?? {
+    match tokio::time::timeout(patience, link::receive(&mut stream, protocol::HELLO_CAP)).await?? {
         Some(Frame::Joined { admitted, text }) => Ok((admitted, text)),
         Some(Frame::Refused { text }) => Ok((false, text)),
         other => anyhow::bail!("an unexpected answer: {other:?}"),
--- a/directory/src/subscriptions.rs
+++ b/directory/src/subscriptions.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use wire::{Answer, Frame, Front, FrontDemand, FrontShares, PeerRequest, PeerResponse, LEASE_MS};
-use yard::{link, now};
+use protocol::{Answer, Frame, Front, FrontDemand, FrontShares, PeerRequest, PeerResponse, LEASE_MS};
+use transport::{link, now};
 
 /// A router that was not heard of for this long is not counted as there.
 const FRONT_AGE_MS: u64 = 3_000;
@@ -125,10 +125,10 @@
                 last = Some(seen);
             }
             drop(out);
-            drop(tokio::time::timeout(yard::jitter(COMPANY_MS), changes.changed()).await);
+            drop(tokio::time::timeout(transport::jitter(COMPANY_MS), changes.changed()).await);
         }
     });
-    let _told = yard::roster::Aborting(told.abort_handle());
+    let _told = transport::roster::Aborting(told.abort_handle());
     let writing = async {
         while let Some(frame) = queue.recv().await {
             tokio::time::timeout(link::PATIENCE * 2, link::send(&mut writer, &frame)).await??;
@@ -242,6 +242,6 @@
                 }
             }
         }
-        drop(tokio::time::timeout(yard::jitter(GOSSIP_MS), changes.changed()).await);
+        drop(tokio::time::timeout(transport::jitter(GOSSIP_MS), changes.changed()).await);
     }
 }
--- a/directory/tests/common/mod.rs
+++ b/directory/tests/common/mod.rs
@@ -13,8 +13,8 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Mutex};
-use wire::{Frame, PeerRequest, PeerResponse, Validity};
-use yard::link;
+use protocol::{Frame, PeerRequest, PeerResponse, Validity};
+use transport::link;
 
 /// Longer than anything here takes on a busy machine.
 pub const PATIENCE: Duration = Duration::from_secs(60);
@@ -44,7 +44,7 @@
     pub async fn release(&self, validity: Validity) {
         let (from, number, question) = (self.from, self.number, self.question.clone());
         let frame = Frame::Ask { from, number, validity, question };
-        let bytes = wire::encode(&frame);
+        let bytes = protocol::encode(&frame);
         self.way.lock().await.write_all(&bytes).await.expect("the connection stands");
     }
 }
@@ -75,10 +75,10 @@
             drop(tokio::io::copy(&mut far_in, &mut near_out).await);
         });
         let way = Arc::new(Mutex::new(far_out));
-        while let Ok(Some(frame)) = link::receive(&mut near_in, wire::CAP).await {
+        while let Ok(Some(frame)) = link::receive(&mut near_in, protocol::CAP).await {
             let frames = (self.filter.lock())(frame);
             for frame in frames.into_iter().filter_map(|frame| self.pass(frame, &way)) {
-                let bytes = wire::encode(&frame);
+                let bytes = protocol::encode(&frame);
                 if way.lock().await.write_all(&bytes).await.is_err() {
                     return;
                 }
--- a/directory/tests/forwarding.rs
+++ b/directory/tests/forwarding.rs
@@ -2,7 +2,7 @@
 
 use directory::forwarding::{is_valid, LeaderClock};
 use residency::{Command, Proposal};
-use wire::{PeerRequest, Validity};
+use protocol::{PeerRequest, Validity};
 
 const LEADER: u64 = 7;
 const TERM: u64 = 3;
--- a/directory/tests/orders.rs
+++ b/directory/tests/orders.rs
@@ -8,7 +8,7 @@
 use residency::{Command, Name, Outcome, Proposal};
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{Frame, PeerRequest, PeerResponse, Validity};
+use protocol::{Frame, PeerRequest, PeerResponse, Validity};
 
 /// A deadline that no cut is longer than.
 const NEVER_MS: u64 = u64::MAX;
@@ -50,7 +50,7 @@
         Validity { term: term - 1, deadline_ms: NEVER_MS },
         Validity { term: term + 1, deadline_ms: NEVER_MS },
         Validity { term, deadline_ms: 0 },
-        Validity { term, deadline_ms: yard::now() },
+        Validity { term, deadline_ms: transport::now() },
     ] {
         held.release(validity).await;
         assert_eq!(nodes.reply_to(held.number).await, PeerResponse::NotLeader, "{validity:?}");
@@ -121,9 +121,9 @@
         );
     let held = nodes.next_held().await;
     // By now the time for contact has begun, and is over so much later.
-    let begun = yard::now();
+    let begun = transport::now();
     let mut turn = 0;
-    while turn == 0 || yard::now() <= begun + contact.as_millis() as u64 {
+    while turn == 0 || transport::now() <= begun + contact.as_millis() as u64 {
         nodes.must(&leader, &format!("evacuated {turn}"), evacuate()).await;
         nodes.must(&leader, &format!("taken back {turn}"), reinstate()).await;
         turn += 1;
@@ -145,9 +145,9 @@
     let (leader, follower) = nodes.roles().await;
     nodes.hold(true);
     let patience = Duration::from_millis(2_000);
-    let asked = yard::now();
+    let asked = transport::now();
     let reply = follower.order("held".into(), evacuate(), PATIENCE, patience).await;
-    let ended = yard::now();
+    let ended = transport::now();
     assert!(!matches!(reply, PeerResponse::Submitted(_)), "{reply:?}");
     let mut held = vec![nodes.next_held().await];
     held.extend(nodes.others_held());
--- a/placement/src/company.rs
+++ b/placement/src/company.rs
@@ -4,7 +4,7 @@
 use consensus::Member;
 use residency::Name;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::{Front, News};
+use protocol::{Front, News};
 
 /// The same at both ends of a session. Invariant: a directory node takes in what
 /// it has put on its way to the router, and the router takes it in in this order,
--- a/placement/src/engines.rs
+++ b/placement/src/engines.rs
@@ -136,7 +136,7 @@
             new.push(engine.clone());
             let known = Known {
                 engine: engine.clone(),
-                mark: language::mark(name.as_bytes()),
+                mark: policy::mark(name.as_bytes()),
                 vitals: None,
                 heard: now,
                 own: 0,
--- a/placement/src/estimates.rs
+++ b/placement/src/estimates.rs
@@ -3,7 +3,7 @@
 //! are. A job goes where its first event is expected soonest.
 
 use crate::{may_have, rank, Chosen};
-use language::Prompt;
+use policy::Prompt;
 use residency::{Engine, Mapping, View};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -79,7 +79,7 @@
     fn new(now: u64, engine: &Engine) -> Known {
         Known {
             engine: engine.clone(),
-            mark: language::mark(engine.name.as_bytes()),
+            mark: policy::mark(engine.name.as_bytes()),
             own: 0,
             reading: 0.0,
             others: HashMap::new(),
--- a/placement/src/following.rs
+++ b/placement/src/following.rs
@@ -4,7 +4,7 @@
 use residency::{Event, View};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use wire::LEASE_MS;
+use protocol::LEASE_MS;
 
 /// Invariants: the view's epoch only rises, whichever node speaks and however
 /// late; a lease is counted from when its beat was sent, and is taken only
--- a/placement/src/paces.rs
+++ b/placement/src/paces.rs
@@ -6,7 +6,7 @@
 //! changes nothing.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use wire::{Demand, FrontDemand, FrontShares, Share, LATELY_MS, LEASE_MS};
+use protocol::{Demand, FrontDemand, FrontShares, Share, LATELY_MS, LEASE_MS};
 
 /// How long a job waits for its tenant's pace where there is a leader's word:
 /// one that can't have room by then is refused at once.
--- a/placement/src/pools.rs
+++ b/placement/src/pools.rs
@@ -12,7 +12,7 @@
 //! changes nothing.
 
 use std::collections::{BTreeMap, VecDeque};
-use wire::{Demand, FrontDemand, FrontShares, Share, LATELY_MS, LEASE_MS};
+use protocol::{Demand, FrontDemand, FrontShares, Share, LATELY_MS, LEASE_MS};
 
 /// How long a router keeps its part without a word, counted from when it asked
 /// last. The leader keeps it for that router for as long, and a window.
--- a/placement/tests/company.rs
+++ b/placement/tests/company.rs
@@ -2,7 +2,7 @@
 
 use consensus::Member;
 use placement::Company;
-use wire::{Front, News};
+use protocol::{Front, News};
 
 fn front(number: u64, epoch: u64, is_leaving: bool, age_ms: u64) -> Front {
     Front {
@@ -93,6 +93,6 @@
         News { is_first: 0, fronts: Vec::new(), gone: Vec::new(), directories: Vec::new() };
     assert_eq!(node.news(list(2, 700), members(8)), nothing);
     assert_eq!(node.nothing(), nothing);
-    let length = wire::encode(&wire::Frame::Company(nothing)).len();
+    let length = protocol::encode(&protocol::Frame::Company(nothing)).len();
     assert!(length <= 32, "nothing new is said in {length} bytes");
 }
--- a/placement/tests/estimates.rs
+++ b/placement/tests/estimates.rs
@@ -1,6 +1,6 @@
 //! Electing by answers alone: where a job goes, and what cold engines get.
 
-use language::{Part, Prompt};
+use policy::{Part, Prompt};
 use placement::{Chosen, Estimates, Wanted};
 use residency::{Engine, EngineState, Event, Mapping, Name, Place, Traits, View};
 
--- a/placement/tests/pools.rs
+++ b/placement/tests/pools.rs
@@ -1,7 +1,7 @@
 //! Tenants' quotas over whole fleets in virtual time, from fixed seeds.
 
 use placement::{Margin, Pools, Taps, OPENING};
-use wire::{FrontDemand, FrontShares, LEASE_MS};
+use protocol::{FrontDemand, FrontShares, LEASE_MS};
 
 const MARGIN: Margin = Margin { overrun: 1.1, extra: 20.0, window_ms: 5_000 };
 const STEP_MS: u64 = 5;
--- a/language/tests/fixtures.rs
+++ b/policy/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! The one table of routing keys that router and directory go by, and the
 //! compiler's complaints.
 
-use language::{compile, parse_span, Extract, Field, Head, Program, BODY_CAP};
+use policy::{compile, parse_span, Extract, Field, Head, Program, BODY_CAP};
 
 const RULES: &str = r#"
 # Four doors, each with its own way of carrying key and model.
--- a/wire/tests/formats/frames.rs
+++ b/protocol/tests/formats/frames.rs
@@ -9,7 +9,7 @@
     Command, ConfigDocument, DrainTarget, Engine, EngineState, Event, InvalidationScope, Limits,
     Mapping, Name, Outcome, Place, Proposal, TenantLimits, Traits, Window,
 };
-use wire::*;
+use protocol::*;
 
 fn name(text: &str) -> Name {
     Name(text.into())
--- a/residency/src/book.rs
+++ b/residency/src/book.rs
@@ -16,7 +16,7 @@
     pub services: BTreeMap<String, Service>,
     pub tenants: BTreeMap<String, Tenant>,
     pub rules: String,
-    pub points: language::SetPoints,
+    pub points: policy::SetPoints,
     pub limits: Limits,
     /// A key's jobs go to the caller's own region first, not to its first home.
     pub is_near_first: bool,
@@ -178,7 +178,7 @@
 
     fn span(&mut self, place: &str, value: &OwnedValue, name: &str) -> Option<u64> {
         let found = value.get(name)?;
-        let span = found.as_str().and_then(language::parse_span);
+        let span = found.as_str().and_then(policy::parse_span);
         if span.is_none() {
             self.complain(&join(place, name), "a time such as 30s, 5m or 24h should stand here");
         }
@@ -238,7 +238,7 @@
             services: BTreeMap::new(),
             tenants: BTreeMap::new(),
             rules: String::new(),
-            points: language::SetPoints::default(),
+            points: policy::SetPoints::default(),
         };
         for (name, zone) in reader.things(value, "zones") {
             let place = format!("zones.{name}");
@@ -354,7 +354,7 @@
                 None => reader.texts("", value, "rules").join("\n"),
             };
         }
-        match language::compile(&book.rules) {
+        match policy::compile(&book.rules) {
             Ok(program) => {
                 book.points = program.points;
                 for route in &program.routes {
--- a/residency/src/view.rs
+++ b/residency/src/view.rs
@@ -200,7 +200,7 @@
 pub struct View {
     pub epoch: u64,
     pub rules: String,
-    pub program: std::sync::Arc<language::Program>,
+    pub program: std::sync::Arc<policy::Program>,
     pub zones: BTreeMap<String, String>,
     pub cells: BTreeMap<String, String>,
     /// Digest to tenant.
@@ -220,7 +220,7 @@
         View {
             epoch: 0,
             rules: String::new(),
-            program: std::sync::Arc::new(language::compile("").expect("no rules compile")),
+            program: std::sync::Arc::new(policy::compile("").expect("no rules compile")),
             zones: BTreeMap::new(),
             cells: BTreeMap::new(),
             keys: BTreeMap::new(),
@@ -264,7 +264,7 @@
             Event::Rules(text) => {
                 // Rules are compiled before they are proposed and again when
                 // they are applied; what reaches a view compiles.
-                if let Ok(program) = language::compile(&text.0) {
+                if let Ok(program) = policy::compile(&text.0) {
                     self.program = std::sync::Arc::new(program);
                     self.rules = text.0.clone();
                 }
--- a/residency/tests/state.rs
+++ b/residency/tests/state.rs
@@ -247,7 +247,7 @@
 #[test]
 fn a_tenant_that_goes_takes_its_keys_along() {
     let mut bench = Bench::new();
-    let digest = language::fingerprint("a key of ben's");
+    let digest = policy::fingerprint("a key of ben's");
     bench.must(Command::Key(Place { name: digest.clone(), within: "ben".into() }));
     assert!(bench.state.view.keys.contains_key(&digest));
     bench.must(revise(false, r#"{"tenants":{"ben":null}}"#));
--- a/router/src/company.rs
+++ b/router/src/company.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
-use wire::{Frame, Front, Kind, News};
-use yard::{link, now};
+use protocol::{Frame, Front, Kind, News};
+use transport::{link, now};
 
 /// A neighbour that takes longer is a miss.
 const LOOK_PATIENCE: Duration = Duration::from_millis(60);
@@ -45,8 +45,8 @@
         self.listed = self.listed.filter(|_| !has_gap).or(Some(at)).filter(|_| is_listed);
         self.told = at;
         if news.is_first != 0 || !news.fronts.is_empty() || !news.gone.is_empty() {
-            let own = language::mark(name.as_bytes());
-            let marks = self.known.fronts().map(|front| language::mark(front.name.as_bytes()));
+            let own = policy::mark(name.as_bytes());
+            let marks = self.known.fronts().map(|front| policy::mark(front.name.as_bytes()));
             self.marks = std::iter::once(own).chain(marks.filter(|mark| *mark != own)).collect();
         }
     }
@@ -103,7 +103,7 @@
         .filter(|front| front.region == router.boot.region && front.is_leaving == 0)
         .filter(|front| front.name != router.boot.name)
         .filter_map(|front| Some((front.name.as_str(), Some(front.address.parse().ok()?))));
-    let number = |text: &str| language::mark(text.as_bytes());
+    let number = |text: &str| policy::mark(text.as_bytes());
     let key = number(key);
     std::iter::once(own)
         .chain(others)
--- a/router/src/door.rs
+++ b/router/src/door.rs
@@ -8,17 +8,17 @@
 use dropshot::Body;
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
-use language::{Extract, Field, Head, Source, Target, BODY_CAP};
+use policy::{Extract, Field, Head, Source, Target, BODY_CAP};
 use placement::{Event, Hit, Job, Outcome, State};
 use residency::{Mapping, View};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
-use wire::Answer;
-use yard::dispatch::{step, Carried, Parts, Rest};
-use yard::doors::{self, Doors};
-use yard::now;
-use yard::web::{self, Refusal, Request, Response};
+use protocol::Answer;
+use transport::dispatch::{step, Carried, Parts, Rest};
+use transport::doors::{self, Doors};
+use transport::now;
+use transport::web::{self, Refusal, Request, Response};
 
 /// How long a job waits for the mapping that another one asks for.
 const JOIN_PATIENCE: Duration = Duration::from_millis(1_500);
@@ -149,7 +149,7 @@
     /// The tenant of a key that was read; an unknown key goes no further.
     fn tenant(&self, extract: &Extract) -> Result<Option<Caller>, Refusal> {
         let Field::Known(key) = &extract.tenant else { return Ok(None) };
-        let key = language::fingerprint(key);
+        let key = policy::fingerprint(key);
         match self.view.keys.get(&key) {
             Some(tenant) => Ok(Some(Caller { tenant: tenant.clone(), key })),
             None => Err(Refusal::not_run(401, "unknown-key", "this tenant key is not known")),
@@ -197,7 +197,7 @@
         let text = format!("{} jobs are under way here; ask another router", router.boot.jobs);
         return Err(Refusal::not_run(503, "router-full", text));
     }
-    let reader = Reader { view: &view, parts: &head, draw: language::mark(id.as_bytes()) };
+    let reader = Reader { view: &view, parts: &head, draw: policy::mark(id.as_bytes()) };
     let Some(route) = reader.with(|head| view.program.route(head)) else {
         return Err(Refusal::not_run(404, "no-route", "no route fits this method and path"));
     };
@@ -480,7 +480,7 @@
     let (router, tenant, service) =
         (Arc::clone(router), keyed.tenant.clone(), keyed.service.clone());
     tokio::spawn(async move {
-        tokio::time::sleep(yard::jitter(20)).await;
+        tokio::time::sleep(transport::jitter(20)).await;
         router.counters.one("refreshes");
         let region = &router.boot.region;
         let answer = router.questions.resolve(&tenant, &service, region, RESOLVE_PATIENCE).await;
@@ -592,7 +592,7 @@
         let text = "the tenant key stands in x-tenant-key or as a bearer token";
         return Err(Refusal::not_run(401, "no-key", text));
     };
-    let Some(tenant) = view.keys.get(&language::fingerprint(key)) else {
+    let Some(tenant) = view.keys.get(&policy::fingerprint(key)) else {
         return Err(Refusal::not_run(401, "unknown-key", "this tenant key is not known"));
     };
     let zone = web::query(request.uri(), "zone").unwrap_or(router.boot.zone.clone());
@@ -605,7 +605,7 @@
         .get(tenant)
         .map_or(Vec::new(), |terms| terms.homes.iter().map(|home| home.0.as_str()).collect());
     let company = router.company.read();
-    let mut fronts: Vec<(u8, usize, u32, &wire::Front)> = company
+    let mut fronts: Vec<(u8, usize, u32, &protocol::Front)> = company
         .fronts()
         .filter(|front| front.is_leaving == 0 && !view.evacuated.contains(&front.zone))
         .filter_map(|front| {
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -13,11 +13,11 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use wire::{Frame, JobHead, Kind};
-use yard::dispatch::{clean, headers_of, headers_to, step, Carried, Parts, Piped, Rest, IDLE};
-use yard::roster::Aborting;
-use yard::web::{Refusal, Response};
-use yard::{link, now};
+use protocol::{Frame, JobHead, Kind};
+use transport::dispatch::{clean, headers_of, headers_to, step, Carried, Parts, Piped, Rest, IDLE};
+use transport::roster::Aborting;
+use transport::web::{Refusal, Response};
+use transport::{link, now};
 
 /// How long a node has to say that it is there.
 const WELCOME_PATIENCE: Duration = Duration::from_millis(400);
@@ -110,7 +110,7 @@
 async fn welcomed(router: &Router, node: SocketAddr) -> anyhow::Result<TcpStream> {
     let name = &router.boot.name;
     let mut stream = link::dial(router.boot.listen, node, Kind::Job, name).await?;
-    let answer = link::receive(&mut stream, wire::HELLO_CAP);
+    let answer = link::receive(&mut stream, protocol::HELLO_CAP);
     match tokio::time::timeout(WELCOME_PATIENCE, answer).await {
         Ok(Ok(Some(Frame::Welcome))) => Ok(stream),
         Ok(Ok(Some(Frame::Refused { text }))) => anyhow::bail!("{node} refuses: {text}"),
@@ -162,7 +162,7 @@
     let service = asker.and_then(|asker| asker.key().split_once('/')).map_or("", |pair| pair.1);
     let has_budget = || (router.dispatcher.budget)(service);
     loop {
-        match link::receive(&mut reader, wire::CAP).await? {
+        match link::receive(&mut reader, protocol::CAP).await? {
             Some(Frame::Mapped(found)) => {
                 if let Some(asker) = asker {
                     anyhow::ensure!(found.key() == asker.key(), "it mapped another key");
@@ -271,7 +271,7 @@
     async fn run(mut self) -> anyhow::Result<()> {
         let end = loop {
             let frame = tokio::select! {
-                frame = tokio::time::timeout(IDLE, link::receive(&mut self.reader, wire::CAP)) => frame,
+                frame = tokio::time::timeout(IDLE, link::receive(&mut self.reader, protocol::CAP)) => frame,
                 () = self.pieces.closed() => anyhow::bail!("the caller left"),
             };
             match frame {
--- a/router/src/layers.rs
+++ b/router/src/layers.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use tokio::sync::watch;
-use yard::now;
+use transport::now;
 
 /// What events made void, each with the epoch of the last time. A mapping that
 /// was resolved before is not to be used or kept, whichever way it came.
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -22,13 +22,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
-use yard::counters::Counters;
-use yard::dispatch::Dispatcher;
-use yard::lanes::Lanes;
-use yard::now;
-use yard::quota::Quota;
-use yard::roster::Roster;
-use yard::web::{self, Refusal};
+use transport::counters::Counters;
+use transport::dispatch::Dispatcher;
+use transport::lanes::Lanes;
+use transport::now;
+use transport::quota::Quota;
+use transport::roster::Roster;
+use transport::web::{self, Refusal};
 
 /// How long a job may wait for room at an engine, at the most.
 pub const ROOM_WAIT_MS: u64 = 3_000;
@@ -213,7 +213,7 @@
         web::serve(address, 1 << 16, handler)?
     };
     log::info!("router is up at {}", router.boot.door);
-    yard::wait_for_end().await?;
+    transport::wait_for_end().await?;
     // Callers that were told of this router before still come for a while;
     // those who ask from now on are told of others.
     log::info!("leaving");
@@ -257,7 +257,7 @@
             web::json(if is_well { 200 } else { 503 }, &value)
         }
         ("GET", "/counters") => web::json(200, &router.counters.value()),
-        ("GET", "/traffic") => web::json(200, &yard::traffic::value()),
+        ("GET", "/traffic") => web::json(200, &transport::traffic::value()),
         (_, path) => {
             let text = format!("there is no {path} for this method");
             web::json(404, &simd_json::json!({ "code": "no-such-page", "text": text }))
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -3,7 +3,7 @@
 
 use router::{Ports, Settings, ROOM_WAIT_MS};
 use std::time::Duration;
-use yard::boot::{setting, Boot, Setting};
+use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("name", "NAME", "this router's name, unique in the cluster", None),
@@ -81,7 +81,7 @@
     }
     boot.finish();
     let run = || -> anyhow::Result<()> {
-        yard::logs::start("router", &settings.name, &level)?;
+        transport::logs::start("router", &settings.name, &level)?;
         let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
         runtime.block_on(router::run(settings, Ports::default()))?;
         runtime.shutdown_timeout(Duration::from_millis(200));
--- a/router/src/ports.rs
+++ b/router/src/ports.rs
@@ -7,8 +7,8 @@
 use placement::{Margin, Retries};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use yard::dispatch::Carriage;
-use yard::web::{Handler, Refusal, Request, Response, JOB};
+use transport::dispatch::Carriage;
+use transport::web::{Handler, Refusal, Request, Response, JOB};
 
 type Reading<T> = Box<dyn Fn(&HeaderMap) -> Option<T> + Send + Sync>;
 type Refusing = Box<dyn Fn(&Refusal, &str) -> Response + Send + Sync>;
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
-use wire::{Answer, Frame, Front, Kind};
-use yard::{link, now};
+use protocol::{Answer, Frame, Front, Kind};
+use transport::{link, now};
 
 /// Beats out of turn keep at least this distance.
 const URGENT_MS: u64 = 50;
@@ -128,7 +128,7 @@
                 break;
             }
         }
-        tokio::time::sleep(yard::jitter(100)).await;
+        tokio::time::sleep(transport::jitter(100)).await;
     }
 }
 
@@ -160,14 +160,14 @@
     let (frames, mut incoming) = mpsc::channel(64);
     let reading = tokio::spawn(async move {
         loop {
-            let frame = link::receive(&mut reader, wire::CAP).await;
+            let frame = link::receive(&mut reader, protocol::CAP).await;
             let is_last = !matches!(frame, Ok(Some(_)));
             if frames.send(frame).await.is_err() || is_last {
                 return;
             }
         }
     });
-    let _reading = yard::roster::Aborting(reading.abort_handle());
+    let _reading = transport::roster::Aborting(reading.abort_handle());
     let mut beat = tokio::time::interval(Duration::from_millis(boot.beat));
     beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut lease_valid = now();
--- a/router/src/tidings.rs
+++ b/router/src/tidings.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{Frame, Front, Kept, Load};
+use protocol::{Frame, Front, Kept, Load};
 
 /// How long news wait for more of them, for each neighbour that is told.
 const BATCH_MS: u64 = 4;
@@ -45,11 +45,11 @@
 
 /// One router of each other region, by rank for this one.
 fn far(router: &Router) -> Vec<SocketAddr> {
-    let own = language::mark(router.boot.name.as_bytes());
+    let own = policy::mark(router.boot.name.as_bytes());
     let company = router.company.read();
     let mut regions: HashMap<&str, (u64, &Front)> = HashMap::new();
     for front in company.fronts().filter(|f| f.region != router.boot.region) {
-        let rank = placement::rank(own, language::mark(front.name.as_bytes()));
+        let rank = placement::rank(own, policy::mark(front.name.as_bytes()));
         let best = regions.entry(&front.region).or_insert((rank, front));
         if rank > best.0 {
             *best = (rank, front);
@@ -85,7 +85,7 @@
 /// The loop: news as they come, in batches.
 pub async fn run(router: Arc<Router>) {
     let mut for_far = News::default();
-    let mut told_far = yard::now();
+    let mut told_far = transport::now();
     loop {
         let again = Duration::from_millis(AGAIN_MS);
         drop(tokio::time::timeout(again, router.dispatcher.roster.news.notified()).await);
@@ -103,9 +103,9 @@
             }
         }
         for_far.kept.extend(news.kept);
-        if !for_far.is_empty() && yard::now() >= told_far + FAR_BATCH_MS {
+        if !for_far.is_empty() && transport::now() >= told_far + FAR_BATCH_MS {
             tell(&router, &far(&router), &frame(&router.boot.name, false, &for_far));
-            (for_far, told_far) = (News::default(), yard::now());
+            (for_far, told_far) = (News::default(), transport::now());
         }
     }
 }
--- a/operator/src/main.rs
+++ b/rushctl/src/main.rs
@@ -9,7 +9,7 @@
 use simd_json::{json, OwnedValue};
 use std::net::SocketAddr;
 use std::time::Duration;
-use yard::web;
+use transport::web;
 
 /// One command: its words, what it wants, what it does.
 struct Command {
@@ -160,7 +160,7 @@
     let mut book = residency::parse_text(&text).map_err(|error| anyhow!("{path}: {error}"))?;
     if let Some(rules) = rules {
         let text = std::fs::read_to_string(&rules).with_context(|| rules.clone())?;
-        if let Err(complaints) = language::compile(&text) {
+        if let Err(complaints) = policy::compile(&text) {
             let lines: Vec<String> =
                 complaints.iter().map(|complaint| format!("{rules}: {complaint}")).collect();
             bail!("{}", lines.join("\n"));
--- a/stand/src/bin/day.rs
+++ b/testbed/src/bin/day.rs
@@ -1,6 +1,6 @@
 //! Makes a sample day from a deployment's shape, by a seed.
 
-use yard::boot::{setting, Boot, Setting};
+use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("shape", "FILE", "the deployment's shape, with its mix and events", None),
@@ -19,7 +19,7 @@
     boot.finish();
     let run = || -> anyhow::Result<()> {
         let text = std::fs::read_to_string(&shape)?;
-        for moment in stand::day::make(&text, None, seconds, scale, seed)? {
+        for moment in testbed::day::make(&text, None, seconds, scale, seed)? {
             println!("{}", moment.line());
         }
         Ok(())
--- a/stand/src/bin/engine.rs
+++ b/testbed/src/bin/engine.rs
@@ -1,6 +1,6 @@
 //! A stand-in engine as a process of its own.
 
-use yard::boot::{setting, Boot, Setting};
+use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("name", "NAME", "the engine's name", None),
@@ -15,7 +15,7 @@
 
 fn main() {
     let mut boot = Boot::read("engine", "A stand-in engine, for tests and trials.", SETTINGS);
-    let settings = stand::engine::Settings {
+    let settings = testbed::engine::Settings {
         name: boot.name("name"),
         address: boot.address("address"),
         slots: boot.count("slots", 1, 10_000) as u32,
@@ -30,7 +30,7 @@
         let runtime =
             tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
         runtime.block_on(async {
-            let server = stand::engine::serve(settings)?;
+            let server = testbed::engine::serve(settings)?;
             server.await.map_err(|text| anyhow::anyhow!(text))
         })
     };
--- a/stand/src/bin/fleet.rs
+++ b/testbed/src/bin/fleet.rs
@@ -1,10 +1,10 @@
 //! Starts a whole deployment on this machine and keeps it until it is told to
 //! stop.
 
-use stand::fleet::{Fleet, Shape};
+use testbed::fleet::{Fleet, Shape};
 use std::convert::Infallible;
 use std::path::{Path, PathBuf};
-use yard::boot::{setting, Boot, Setting};
+use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("shape", "FILE", "the deployment's shape", None),
@@ -23,7 +23,7 @@
             tokio::select! {
                 // Asked first, so that it listens before anything is started.
                 biased;
-                end = yard::wait_for_end() => Ok(end?),
+                end = transport::wait_for_end() => Ok(end?),
                 failed = keep_up(&mut fleet, &folder) => failed.map(|never| match never {}),
             }
         })
--- a/stand/src/bin/replay.rs
+++ b/testbed/src/bin/replay.rs
@@ -1,10 +1,10 @@
 //! Plays a recorded day against a fleet, and reports counts by outcome.
 
-use stand::fleet::{Fleet, Shape};
-use stand::{day, replay};
+use testbed::fleet::{Fleet, Shape};
+use testbed::{day, replay};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use yard::boot::{setting, Boot, Setting};
+use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("day", "FILE", "the recorded day", None),
@@ -69,7 +69,7 @@
             let ends =
                 replay::Ends { doors, desks, router_desks: Vec::new(), keys: shape.keys.clone() };
             replay::play(ends, None, day, &folder).await?;
-            let lines = stand::journal::read(&folder.join("callers.jsonl"))?;
+            let lines = testbed::journal::read(&folder.join("callers.jsonl"))?;
             println!("jobs: {}; see callers.jsonl", lines.len());
             return Ok(true);
         }
--- a/stand/src/bin/scenarios.rs
+++ b/testbed/src/bin/scenarios.rs
@@ -4,11 +4,11 @@
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use stand::checker::text;
-use stand::fleet::{Fleet, Shape};
-use stand::{checker, day, faults, replay};
+use testbed::checker::text;
+use testbed::fleet::{Fleet, Shape};
+use testbed::{checker, day, faults, replay};
 use std::path::{Path, PathBuf};
-use yard::boot::{setting, Boot, Setting};
+use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("scenarios", "FILE", "the scenarios; without, days are drawn from seeds", Some("")),
--- a/stand/src/caller.rs
+++ b/testbed/src/caller.rs
@@ -49,12 +49,12 @@
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await?;
     let driver = tokio::spawn(connection);
-    let _driver = yard::roster::Aborting(driver.abort_handle());
+    let _driver = transport::roster::Aborting(driver.abort_handle());
     let mut request = hyper::Request::builder()
         .method(call.method.as_str())
         .uri(&call.target)
         .header("host", door.to_string())
-        .header(yard::web::JOB, &call.id);
+        .header(transport::web::JOB, &call.id);
     for (name, value) in &call.headers {
         request = request.header(name, value);
     }
@@ -63,7 +63,7 @@
     let header = |name: &str| {
         answer.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_string()
     };
-    let (outcome, is_warm) = (header(yard::web::OUTCOME), header("x-prefix") == "warm");
+    let (outcome, is_warm) = (header(transport::web::OUTCOME), header("x-prefix") == "warm");
     let retry_after = header("retry-after").parse().ok();
     let has_leaked = answer.headers().keys().any(|name| name.as_str().contains("mapping"));
     let mut body = answer.into_body();
@@ -87,7 +87,7 @@
 
 /// Whether an answer that ended well is whole and this job's own.
 pub fn judge(call: &Call, text: &[u8], is_warm: bool) -> Seen {
-    let sum = language::fingerprint(&String::from_utf8_lossy(&call.body));
+    let sum = policy::fingerprint(&String::from_utf8_lossy(&call.body));
     let mut first: Option<(String, u64, u64)> = None;
     let mut count = 0;
     for line in text.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
--- a/stand/src/engine.rs
+++ b/testbed/src/engine.rs
@@ -18,8 +18,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, Semaphore};
-use yard::dispatch::Piped;
-use yard::web::{self, Request, Response};
+use transport::dispatch::Piped;
+use transport::web::{self, Request, Response};
 
 pub struct Settings {
     pub name: String,
@@ -135,7 +135,7 @@
             note("declined", 0);
             return hyper::Response::builder()
                 .status(503)
-                .header(yard::dispatch::ENGINE_OUTCOME, "not-run")
+                .header(transport::dispatch::ENGINE_OUTCOME, "not-run")
                 .body(Body::empty())
                 .expect("fixed headers make an answer");
         }
@@ -152,7 +152,7 @@
     let run = engine.runs.fetch_add(1, Ordering::Relaxed) + 1;
     let is_warm = warm_up(engine, &body);
     note(if is_warm { "begun-warm" } else { "begun-cold" }, run);
-    let sum = language::fingerprint(&String::from_utf8_lossy(&body));
+    let sum = policy::fingerprint(&String::from_utf8_lossy(&body));
     let (sender, receiver) = mpsc::channel(4);
     let (engine, job) = (Arc::clone(engine), id.clone());
     let settings_name = engine.settings.name.clone();
@@ -182,8 +182,8 @@
 
 /// Whether the prompt's beginning was seen lately; from now on it was.
 fn warm_up(engine: &Engine, body: &[u8]) -> bool {
-    let prefix = match language::find(body, &["prompt".into()], true) {
-        language::Find::Found { raw, .. } => {
+    let prefix = match policy::find(body, &["prompt".into()], true) {
+        policy::Find::Found { raw, .. } => {
             String::from_utf8_lossy(&raw[..raw.len().min(256)]).into_owned()
         }
         _ => return true,
--- a/stand/src/fleet/client.rs
+++ b/testbed/src/fleet/client.rs
@@ -5,7 +5,7 @@
 use simd_json::OwnedValue;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use yard::web;
+use transport::web;
 
 /// Asks a desk; anything but 200 is an error that says the answer.
 pub async fn ask(
--- a/stand/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
-use wire::{Frame, Front, Kind};
-use yard::quota::Quota;
-use yard::{link, now, web};
+use protocol::{Frame, Front, Kind};
+use transport::quota::Quota;
+use transport::{link, now, web};
 
 const BEAT_MS: u64 = 350;
 /// Without a lease from a node for this long, the next one is tried.
@@ -218,7 +218,7 @@
         anyhow::Ok(())
     };
     let reading = async {
-        while let Some(frame) = link::receive(&mut reader, wire::CAP).await? {
+        while let Some(frame) = link::receive(&mut reader, protocol::CAP).await? {
             hollow.lock().take(frame)?;
         }
         bail!("it closed")
@@ -248,7 +248,7 @@
                 break;
             }
         }
-        tokio::time::sleep(yard::jitter(100)).await;
+        tokio::time::sleep(transport::jitter(100)).await;
     }
 }
 
@@ -278,7 +278,7 @@
         }
     };
     tokio::select! {
-        ended = yard::wait_for_end() => Ok(ended?),
+        ended = transport::wait_for_end() => Ok(ended?),
         () = gone => Ok(()),
     }
 }
@@ -290,7 +290,7 @@
 ) -> web::Response {
     let number = |name: &str| web::query(request.uri(), name).and_then(|text| text.parse().ok());
     match (request.method().as_str(), request.uri().path()) {
-        ("GET", "/traffic") => web::json(200, &yard::traffic::value()),
+        ("GET", "/traffic") => web::json(200, &transport::traffic::value()),
         ("GET", "/figures") => {
             let (mut lease_valid, mut sessions, mut leases, mut beats) = (0u64, 0u64, 0u64, 0u64);
             let (mut lowest, mut known, mut engines) = (u64::MAX, u64::MAX, u64::MAX);
--- a/stand/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -81,7 +81,7 @@
             let target = format!("/where?zone={zone}");
             let headers = [("x-tenant-key", key.as_str())];
             let patience = Duration::from_secs(1);
-            let answer = yard::web::ask(door, "GET", &target, &headers, Vec::new(), patience).await;
+            let answer = transport::web::ask(door, "GET", &target, &headers, Vec::new(), patience).await;
             let Ok((200, mut bytes)) = answer else { continue };
             let value = simd_json::to_owned_value(&mut bytes).unwrap_or_default();
             let list = value.get("routers").and_then(|v| v.as_array()).cloned().unwrap_or_default();
@@ -125,7 +125,7 @@
             };
             let Some(seconds) = told else { return };
             if !is_rude {
-                tokio::time::sleep(yard::jitter(seconds * 1000)).await;
+                tokio::time::sleep(transport::jitter(seconds * 1000)).await;
             }
         }
     }
@@ -269,7 +269,7 @@
                 loop {
                     let patience = Duration::from_millis(500);
                     let answer =
-                        yard::web::ask(desk, "GET", "/vitals", &[], Vec::new(), patience).await;
+                        transport::web::ask(desk, "GET", "/vitals", &[], Vec::new(), patience).await;
                     // A router that can't be asked, or is not well, dispatches
                     // nothing.
                     let Ok((200, mut bytes)) = answer else { return Some(0) };
@@ -295,7 +295,7 @@
 
 /// Runs the operators' command line: whether it ended well, and what it said.
 fn operator(args: &[&str], input: &str) -> anyhow::Result<(bool, String)> {
-    let mut command = Command::new(program("operator")?);
+    let mut command = Command::new(program("rushctl")?);
     command.args(args);
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     let mut child = children::spawn(command)?;
--- a/stand/src/simulator/machine.rs
+++ b/testbed/src/simulator/machine.rs
@@ -194,7 +194,7 @@
         entry: &Entry,
         token: Option<u64>,
     ) -> Result<(), String> {
-        let sum = language::mark(&packed(entry));
+        let sum = policy::mark(&packed(entry));
         match self.applied.get(&entry.index) {
             Some(known) if *known != sum => {
                 return self.fail(format!("node-{at} applied another entry {}", entry.index))
--- a/stand/tests/checker.rs
+++ b/testbed/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The checker finds what breaks a rule, and nothing else.
 
 use simd_json::OwnedValue;
-use stand::checker::{check, Ground, Journals, Rule};
+use testbed::checker::{check, Ground, Journals, Rule};
 
 const S: u64 = 1_000_000;
 
--- a/stand/tests/children.rs
+++ b/testbed/tests/children.rs
@@ -1,6 +1,6 @@
 //! A child process is tied to this process, not to the thread that asked for it.
 
-use stand::children;
+use testbed::children;
 use std::io::{Read, Write};
 use std::process::{Command, Stdio};
 
--- a/stand/tests/commands.rs
+++ b/testbed/tests/commands.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use stand::fleet::{program, Kind};
+use testbed::fleet::{program, Kind};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -273,7 +273,7 @@
     assert_eq!(code, Some(0), "{found}");
     for is_shut in [true, false] {
         let patience = std::time::Duration::from_secs(30);
-        stand::fleet::wait(patience, "the window's turn", async || {
+        testbed::fleet::wait(patience, "the window's turn", async || {
             let (_, found) = operator(&["status"], "");
             anyhow::ensure!(found.contains("evacuated: west-a") == is_shut, "{found}");
             anyhow::ensure!(found.contains("window") == is_shut, "{found}");
--- a/stand/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)] // Each test program uses its own part.
 
 use simd_json::prelude::*;
-use stand::caller::{call, Call, Seen};
-use stand::fleet::{wait, Fleet, Kind, Shape};
+use testbed::caller::{call, Call, Seen};
+use testbed::fleet::{wait, Fleet, Kind, Shape};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -105,7 +105,7 @@
     let mut events = Vec::new();
     for engine in fleet.of(Kind::Engine) {
         let path = fleet.journals().join(format!("{}.jsonl", engine.name));
-        for line in stand::journal::read(&path).expect("a journal reads") {
+        for line in testbed::journal::read(&path).expect("a journal reads") {
             let text =
                 |name: &str| line.get(name).and_then(|v| v.as_str()).unwrap_or("").to_string();
             if text("job") == job {
--- a/stand/tests/contributing.rs
+++ b/testbed/tests/contributing.rs
@@ -24,7 +24,7 @@
     assert!(paths.len() > 40, "the page names {} files", paths.len());
     // `tests/` and the like stand for a folder of each package.
     let is_there =
-        |path: &&&str| root.join(path).exists() || root.join("stand").join(path).exists();
+        |path: &&&str| root.join(path).exists() || root.join("testbed").join(path).exists();
     let missing: Vec<&&str> = paths.iter().filter(|path| !is_there(path)).collect();
     assert!(missing.is_empty(), "CONTRIBUTING.md names what is not there: {missing:?}");
 }
--- a/stand/tests/cut_leader.rs
+++ b/testbed/tests/cut_leader.rs
@@ -8,11 +8,11 @@
 use nix::sys::signal::Signal;
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
-use stand::fleet::{wait, Fleet, Kind, Process};
+use testbed::fleet::{wait, Fleet, Kind, Process};
 use std::net::SocketAddr;
 use std::time::Duration;
-use wire::{Answer, Frame, Front, FrontDemand, Header, JobHead};
-use yard::{link, web};
+use protocol::{Answer, Frame, Front, FrontDemand, Header, JobHead};
+use transport::{link, web};
 
 const ANA: &str = "ana-key-0001";
 
@@ -204,8 +204,8 @@
     let (desk, address) = (fleet.get(&cut).desk(), fleet.get(&cut).address());
 
     let dial = async |kind| link::dial(source, address, kind, "probe").await.expect("it listens");
-    let mut job = dial(wire::Kind::Job).await;
-    let welcome = link::receive(&mut job, wire::CAP).await.expect("a frame");
+    let mut job = dial(protocol::Kind::Job).await;
+    let welcome = link::receive(&mut job, protocol::CAP).await.expect("a frame");
     assert_eq!(welcome, Some(Frame::Welcome));
     let header = |name: &str, value: &str| Header { name: name.into(), value: value.into() };
     let head = JobHead {
@@ -228,12 +228,12 @@
 
     link::send(&mut job, &Frame::Body(br#"{"prompt":"x"}"#.to_vec())).await.expect("it is sent");
     link::send(&mut job, &Frame::BodyEnd).await.expect("it is sent");
-    match link::receive(&mut job, wire::CAP).await.expect("a frame") {
+    match link::receive(&mut job, protocol::CAP).await.expect("a frame") {
         Some(Frame::Declined { code, not_run: true, .. }) => assert_eq!(code, "no-lease"),
         other => panic!("a job is mapped by old state: {other:?}"),
     }
 
-    let mut session = dial(wire::Kind::Router).await;
+    let mut session = dial(protocol::Kind::Router).await;
     let resolve = Frame::Resolve {
         number: 1,
         tenant: "ana".into(),
@@ -242,7 +242,7 @@
     };
     link::send(&mut session, &resolve).await.expect("it is sent");
     loop {
-        match link::receive(&mut session, wire::CAP).await.expect("a frame") {
+        match link::receive(&mut session, protocol::CAP).await.expect("a frame") {
             Some(Frame::Resolved { answer, .. }) => break assert_eq!(answer, Answer::Later),
             Some(Frame::Lease { .. }) => panic!("it gives a lease"),
             Some(_) => {}
@@ -293,7 +293,7 @@
 async fn beat_once(fleet: &Fleet, router: &str, node: SocketAddr) {
     let router = fleet.get(router);
     let source = SocketAddr::from(([127, 0, 0, 1], 0));
-    let dialled = link::dial(source, node, wire::Kind::Router, &router.name).await;
+    let dialled = link::dial(source, node, protocol::Kind::Router, &router.name).await;
     let mut stream = dialled.expect("the kernel takes it");
     let front = Front {
         name: router.name.clone(),
--- a/stand/tests/cuts.rs
+++ b/testbed/tests/cuts.rs
@@ -6,8 +6,8 @@
 use simd_json::json;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use stand::caller::{call, Seen};
-use stand::fleet::{ask, wait, Fleet, Kind};
+use testbed::caller::{call, Seen};
+use testbed::fleet::{ask, wait, Fleet, Kind};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/stand/tests/day.rs
+++ b/testbed/tests/day.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use simd_json::prelude::*;
-use stand::{day, replay};
+use testbed::{day, replay};
 use std::collections::BTreeSet;
 
 const MIX: &str = r#","mix":[
--- a/stand/tests/failures.rs
+++ b/testbed/tests/failures.rs
@@ -8,8 +8,8 @@
 use simd_json::json;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use stand::caller::{call, Seen};
-use stand::fleet::{ask, wait, Fleet, Kind};
+use testbed::caller::{call, Seen};
+use testbed::fleet::{ask, wait, Fleet, Kind};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -256,15 +256,15 @@
 async fn garbage_closes_its_own_connection_only() {
     let (_folder, fleet) = up("garbage").await;
     let (router, node) = (fleet.get("router-1"), fleet.get("directory-1"));
-    let mut hello = wire::encode(&wire::Frame::Hello {
-        epoch: wire::EPOCH,
-        kind: wire::Kind::Directory,
+    let mut hello = protocol::encode(&protocol::Frame::Hello {
+        epoch: protocol::EPOCH,
+        kind: protocol::Kind::Directory,
         name: "stranger".into(),
     });
     hello.extend([0, 0, 0, 9, 13, 1, 2, 3, 4, 255, 255, 255, 255]);
-    let other = wire::encode(&wire::Frame::Hello {
-        epoch: wire::EPOCH + 1,
-        kind: wire::Kind::Router,
+    let other = protocol::encode(&protocol::Frame::Hello {
+        epoch: protocol::EPOCH + 1,
+        kind: protocol::Kind::Router,
         name: "from-tomorrow".into(),
     });
     for to in [router.address(), node.address()] {
@@ -276,9 +276,9 @@
             let closed = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut answer)).await;
             assert!(closed.is_ok(), "the connection is closed");
             if bytes == other {
-                let frame = wire::decode(&answer[4..]).expect("a frame");
+                let frame = protocol::decode(&answer[4..]).expect("a frame");
                 assert!(
-                    matches!(&frame, wire::Frame::Refused { text } if text.contains("wire epoch")),
+                    matches!(&frame, protocol::Frame::Refused { text } if text.contains("wire epoch")),
                     "{frame:?}"
                 );
             }
--- a/stand/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -5,8 +5,8 @@
 use common::*;
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
-use stand::caller::{call, Call, Seen};
-use stand::fleet::{ask, wait, Fleet, Kind, Shape};
+use testbed::caller::{call, Call, Seen};
+use testbed::fleet::{ask, wait, Fleet, Kind, Shape};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
--- a/stand/tests/gate.rs
+++ b/testbed/tests/gate.rs
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
-use yard::dispatch::{Carried, Dispatcher, Parts};
-use yard::roster::{Elected, Roster};
-use yard::web::Refusal;
+use transport::dispatch::{Carried, Dispatcher, Parts};
+use transport::roster::{Elected, Roster};
+use transport::web::Refusal;
 
 const VITALS: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 const LINE: &str = "{\"running\":0,\"queue\":0,\"slots\":8,\"warm\":true,\"draining\":false}\n";
@@ -163,7 +163,7 @@
             };
             let mapping = mapping();
             let patience = std::time::Duration::from_secs(30);
-            stand::fleet::wait(patience, "vitals", async || {
+            testbed::fleet::wait(patience, "vitals", async || {
                 let value = roster.value(0.8).encode();
                 anyhow::ensure!(value.contains("\"running\":0"), "{value}");
                 Ok(())
@@ -180,7 +180,7 @@
                 target: "/app/write".into(),
                 headers: Default::default(),
                 key: "digest".into(),
-                deadline: yard::now() + 20_000,
+                deadline: transport::now() + 20_000,
                 prompt: Default::default(),
                 urgency: None,
                 aim_ms: 0,
@@ -218,7 +218,7 @@
         tokio::spawn(Arc::clone(roster).run(view_out.clone()));
     }
     let patience = std::time::Duration::from_secs(30);
-    stand::fleet::wait(patience, "a place", async || {
+    testbed::fleet::wait(patience, "a place", async || {
         let view = views.borrow().clone();
         let prompt = Default::default();
         let wanted = placement::Wanted { prompt: &prompt, prefix: 7, avoid: &[] };
--- a/stand/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
-use wire::{Answer, Frame, Kind, News};
-use yard::link;
+use protocol::{Answer, Frame, Kind, News};
+use transport::link;
 
 const PATIENCE: Duration = Duration::from_secs(40);
 const KEY: &str = "ana-key-0001";
@@ -120,7 +120,7 @@
         let news =
             News { is_first: 1, fronts: Vec::new(), gone: Vec::new(), directories: vec![member] };
         link::send(&mut stream, &Frame::Company(news)).await?;
-        while let Some(frame) = link::receive(&mut stream, wire::CAP).await? {
+        while let Some(frame) = link::receive(&mut stream, protocol::CAP).await? {
             let answer = match frame {
                 Frame::Beat { demand, .. } => {
                     Frame::Lease { number: demand.number, epoch, shares: Vec::new() }
@@ -148,7 +148,7 @@
             Trouble::Close => {}
             Trouble::Silence => std::future::pending().await,
             Trouble::HalfFrame => {
-                let bytes = wire::encode(&Frame::AnswerBody(vec![0; 100]));
+                let bytes = protocol::encode(&Frame::AnswerBody(vec![0; 100]));
                 stream.write_all(&bytes[..50]).await?;
             }
             Trouble::Unexpected => link::send(stream, &Frame::BodyEnd).await?,
@@ -224,7 +224,7 @@
 
 fn state() -> State {
     let mut state = State::default();
-    let key = Place { name: language::fingerprint(KEY), within: "ana".into() };
+    let key = Place { name: policy::fingerprint(KEY), within: "ana".into() };
     let commands =
         [Command::Revise { whole: true, text: BOOK.into() }, Command::Key(key)].into_iter();
     for (command, epoch) in commands.zip(1..) {
@@ -275,7 +275,7 @@
         let door = settings.door;
         tokio::spawn(async move {
             // No engine stands here, so that none is waited for.
-            let carriage = yard::dispatch::Carriage { sight_wait: 0, ..Default::default() };
+            let carriage = transport::dispatch::Carriage { sight_wait: 0, ..Default::default() };
             let ports = router::Ports { carriage, ..Default::default() };
             router::run(settings, ports).await.expect("it runs");
         });
@@ -299,7 +299,7 @@
         let target = format!("/app/{route}");
         // Cut visibly, or broken off.
         let asked =
-            yard::web::ask(self.door, "POST", &target, &headers, vec![b'x'; 5_000], PATIENCE);
+            transport::web::ask(self.door, "POST", &target, &headers, vec![b'x'; 5_000], PATIENCE);
         match asked.await {
             Ok((200, body)) if body == OWN => Told::Own,
             Ok((200, body)) => panic!("{id}: {} bytes look whole", body.len()),
@@ -381,11 +381,11 @@
 
 /// The frames of a whole job, as a router sends them after the node's welcome.
 fn conversation(id: &str, left_ms: u64) -> Vec<u8> {
-    let header = |name: &str, value: &str| wire::Header {
+    let header = |name: &str, value: &str| protocol::Header {
         name: name.into(),
         value: value.as_bytes().to_vec(),
     };
-    let head = wire::JobHead {
+    let head = protocol::JobHead {
         id: id.into(),
         method: "POST".into(),
         target: "/app/write".into(),
@@ -398,13 +398,13 @@
     let mut frames = vec![Frame::Job(head)];
     frames.extend((0..5).map(|_| Frame::Body(vec![b'x'; 700])));
     frames.push(Frame::BodyEnd);
-    frames.iter().flat_map(wire::encode).collect()
+    frames.iter().flat_map(protocol::encode).collect()
 }
 
 async fn welcomed(node: SocketAddr) -> TcpStream {
     let source = SocketAddr::from(([127, 0, 0, 1], 0));
     let mut stream = link::dial(source, node, Kind::Job, "edge-9").await.expect("dialled");
-    let frame = link::receive(&mut stream, wire::HELLO_CAP).await.expect("a welcome");
+    let frame = link::receive(&mut stream, protocol::HELLO_CAP).await.expect("a welcome");
     assert_eq!(frame, Some(Frame::Welcome));
     stream
 }
@@ -428,7 +428,7 @@
             0 => stream.set_zero_linger().expect("it is open"),
             1 => {}
             // A frame that has no place there.
-            2 => drop(stream.write_all(&wire::encode(&Frame::Welcome)).await),
+            2 => drop(stream.write_all(&protocol::encode(&Frame::Welcome)).await),
             _ => {
                 silent.push(stream);
                 cut.push(id);
@@ -448,7 +448,7 @@
             stream.write_all(&conversation(&id, left_ms)).await.expect("sent");
             let mut last = None;
             while let Ok(Ok(Some(frame))) =
-                tokio::time::timeout(PATIENCE, link::receive(&mut stream, wire::CAP)).await
+                tokio::time::timeout(PATIENCE, link::receive(&mut stream, protocol::CAP)).await
             {
                 last = Some(frame);
             }
--- a/stand/tests/orphans.rs
+++ b/testbed/tests/orphans.rs
@@ -9,7 +9,7 @@
 use common::{Folder, PATIENCE, SHAPE};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use stand::fleet::{program, wait};
+use testbed::fleet::{program, wait};
 use std::fs::File;
 use std::io::{BufRead, BufReader, Read};
 use std::path::Path;
--- a/stand/tests/streams.rs
+++ b/testbed/tests/streams.rs
@@ -81,7 +81,7 @@
     let headers = [("x-tenant-key", "ana-key-0001"), ("x-model", "writer")];
     let ask = async || {
         let body = br#"{"prompt":"x"}"#.to_vec();
-        yard::web::ask(door, "POST", "/app/write", &headers, body, PATIENCE).await
+        transport::web::ask(door, "POST", "/app/write", &headers, body, PATIENCE).await
     };
     for way in ["straight", "through a directory node"] {
         if way != "straight" {
@@ -91,7 +91,7 @@
             let epoch = fleet.submit(change).await.expect("taken");
             fleet.in_force(epoch, PATIENCE).await.expect("in force");
         }
-        let before = fleet.count(stand::fleet::Kind::Router, "forwards").await.expect("told");
+        let before = fleet.count(testbed::fleet::Kind::Router, "forwards").await.expect("told");
         for answer in &answers {
             for cut in 0..=answer.len() {
                 *words.lock() = (answer.clone(), cut);
@@ -137,7 +137,7 @@
         }
         assert!(seen.starts_with(b"HTTP/1.1 200") && seen.ends_with(long.as_bytes()), "{way}");
 
-        let after = fleet.count(stand::fleet::Kind::Router, "forwards").await.expect("told");
+        let after = fleet.count(testbed::fleet::Kind::Router, "forwards").await.expect("told");
         let jobs: u64 = answers.iter().map(|answer| answer.len() as u64 + 1).sum();
         match way {
             "straight" => assert!(after <= before + 3, "{after}"),
--- a/stand/tests/year.rs
+++ b/testbed/tests/year.rs
@@ -1,13 +1,13 @@
 //! The way back with a log of a year's size. Run by hand, in a release build:
-//! `cargo test --release -p stand --test year -- --ignored --nocapture`.
+//! `cargo test --release -p testbed --test year -- --ignored --nocapture`.
 
 mod common;
 
 use common::*;
 use simd_json::json;
 use simd_json::prelude::*;
-use stand::caller::{call, Seen};
-use stand::fleet::{ask, Kind};
+use testbed::caller::{call, Seen};
+use testbed::fleet::{ask, Kind};
 use std::time::{Duration, Instant};
 
 /// Guards: after everything stops, service returns within about 12 s, with one
--- a/yard/src/dispatch.rs
+++ b/transport/src/dispatch.rs
@@ -11,7 +11,7 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper_util::rt::TokioIo;
-use language::Prompt;
+use policy::Prompt;
 use placement::{Event, Job, Outcome, State, Wanted};
 use residency::{Mapping, View};
 use std::net::SocketAddr;
@@ -117,7 +117,7 @@
 }
 
 /// Headers as they came over a link.
-pub fn headers_of(list: &[wire::Header]) -> anyhow::Result<HeaderMap> {
+pub fn headers_of(list: &[protocol::Header]) -> anyhow::Result<HeaderMap> {
     let mut headers = HeaderMap::new();
     for header in list {
         headers.append(
@@ -129,8 +129,8 @@
 }
 
 /// The same, the other way.
-pub fn headers_to(headers: &HeaderMap) -> Vec<wire::Header> {
-    let header = |(name, value): (&http::HeaderName, &http::HeaderValue)| wire::Header {
+pub fn headers_to(headers: &HeaderMap) -> Vec<protocol::Header> {
+    let header = |(name, value): (&http::HeaderName, &http::HeaderValue)| protocol::Header {
         name: name.as_str().into(),
         value: value.as_bytes().to_vec(),
     };
--- a/yard/src/link.rs
+++ b/transport/src/link.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use wire::{Frame, Kind};
+use protocol::{Frame, Kind};
 
 /// How long connecting may take, and how long a first frame.
 pub const PATIENCE: Duration = Duration::from_millis(1_000);
@@ -39,13 +39,13 @@
     name: &str,
 ) -> anyhow::Result<TcpStream> {
     let mut stream = connect(source, to).await.with_context(|| format!("dialling {to}"))?;
-    let hello = Frame::Hello { epoch: wire::EPOCH, kind, name: name.into() };
+    let hello = Frame::Hello { epoch: protocol::EPOCH, kind, name: name.into() };
     send(&mut stream, &hello).await?;
     Ok(stream)
 }
 
 pub async fn send(to: &mut (impl AsyncWrite + Unpin), frame: &Frame) -> anyhow::Result<()> {
-    let bytes = wire::encode(frame);
+    let bytes = protocol::encode(frame);
     to.write_all(&bytes).await?;
     traffic::sent(&bytes);
     Ok(())
@@ -73,7 +73,7 @@
         bail!("the connection ended within a frame");
     }
     traffic::received(&bytes);
-    wire::decode(&bytes).map(Some).map_err(|text| anyhow!("an unreadable frame: {text}"))
+    protocol::decode(&bytes).map(Some).map_err(|text| anyhow!("an unreadable frame: {text}"))
 }
 
 /// Accepts connections for good, each served by a task of its own.
@@ -104,14 +104,14 @@
 /// words, and the reason returned for the log.
 pub async fn greet(stream: &mut TcpStream) -> anyhow::Result<(Kind, String)> {
     stream.set_nodelay(true)?;
-    let frame = tokio::time::timeout(PATIENCE * 5, receive(stream, wire::HELLO_CAP))
+    let frame = tokio::time::timeout(PATIENCE * 5, receive(stream, protocol::HELLO_CAP))
         .await
         .map_err(|_| anyhow!("no hello came"))??;
     match frame {
-        Some(Frame::Hello { epoch: wire::EPOCH, kind, name }) => Ok((kind, name)),
+        Some(Frame::Hello { epoch: protocol::EPOCH, kind, name }) => Ok((kind, name)),
         Some(Frame::Hello { epoch, name, .. }) => {
             let text =
-                format!("{name} speaks wire epoch {epoch}, this build speaks {} only", wire::EPOCH);
+                format!("{name} speaks wire epoch {epoch}, this build speaks {} only", protocol::EPOCH);
             send(stream, &Frame::Refused { text: text.clone() }).await?;
             Err(anyhow!(text))
         }
--- a/yard/src/quota.rs
+++ b/transport/src/quota.rs
@@ -7,7 +7,7 @@
 use placement::{Margin, Meters, Place, Taps};
 use std::time::Duration;
 use tokio::sync::Notify;
-use wire::{FrontDemand, Share};
+use protocol::{FrontDemand, Share};
 
 /// Whose word a process admits by: asked for each job where it lies nowhere yet,
 /// or lying here before the job comes.
--- a/yard/src/roster.rs
+++ b/transport/src/roster.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper_util::rt::TokioIo;
-use language::Prompt;
+use policy::Prompt;
 use parking_lot::Mutex;
 use placement::{Chosen, Engines, Estimates, News, Vitals, Wanted, SILENCE_MS};
 use residency::{Mapping, View};
--- a/yard/tests/link.rs
+++ b/transport/tests/link.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
-use wire::{Frame, Kind};
-use yard::link;
+use protocol::{Frame, Kind};
+use transport::link;
 
 const PATIENCE: Duration = Duration::from_secs(30);
 
@@ -43,7 +43,7 @@
 
 fn sample() -> Vec<Frame> {
     vec![
-        Frame::Hello { epoch: wire::EPOCH, kind: Kind::Job, name: "edge-1".into() },
+        Frame::Hello { epoch: protocol::EPOCH, kind: Kind::Job, name: "edge-1".into() },
         Frame::Welcome,
         Frame::Body(vec![7; 900]),
         Frame::BodyEnd,
@@ -64,19 +64,19 @@
     #[test]
     fn whole_frames_and_then_an_end(piece in 1usize..200, cut in any::<Index>()) {
         let frames = sample();
-        let bytes: Vec<u8> = frames.iter().flat_map(wire::encode).collect();
-        prop_assert_eq!(heard(&bytes, piece, wire::CAP), (frames.clone(), Ok(())));
+        let bytes: Vec<u8> = frames.iter().flat_map(protocol::encode).collect();
+        prop_assert_eq!(heard(&bytes, piece, protocol::CAP), (frames.clone(), Ok(())));
         let cut = cut.index(bytes.len());
-        let (some, end) = heard(&bytes[..cut], piece, wire::CAP);
+        let (some, end) = heard(&bytes[..cut], piece, protocol::CAP);
         prop_assert!(frames.starts_with(&some));
-        let whole: usize = some.iter().map(|frame| wire::encode(frame).len()).sum();
+        let whole: usize = some.iter().map(|frame| protocol::encode(frame).len()).sum();
         // Within the four bytes of a length nothing of a frame has come.
         prop_assert_eq!(end.is_ok(), cut - whole < 4, "{:?}", end);
     }
 
     #[test]
     fn any_bytes_end_the_connection(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let (_, end) = heard(&bytes, 64, wire::HELLO_CAP);
+        let (_, end) = heard(&bytes, 64, protocol::HELLO_CAP);
         prop_assert!(end.is_ok() || end.is_err_and(|text| !text.is_empty()));
     }
 
@@ -84,7 +84,7 @@
     #[test]
     fn lengths_beyond_the_cap_are_refused(length in 4_097u32.., rest in 0usize..9) {
         let bytes = [&length.to_be_bytes()[..], &vec![1; rest]].concat();
-        let (frames, end) = heard(&bytes, 64, wire::HELLO_CAP);
+        let (frames, end) = heard(&bytes, 64, protocol::HELLO_CAP);
         prop_assert!(frames.is_empty());
         prop_assert!(end.expect_err("too long").contains("over the cap"));
     }
@@ -98,12 +98,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
         let hello = |epoch| Frame::Hello { epoch, kind: Kind::Router, name: "edge-1".into() };
-        let newer = wire::encode(&hello(wire::EPOCH + 1));
+        let newer = protocol::encode(&hello(protocol::EPOCH + 1));
         let cases: Vec<(Vec<u8>, Option<&str>)> = vec![
-            (wire::encode(&hello(wire::EPOCH)), None),
+            (protocol::encode(&hello(protocol::EPOCH)), None),
             (newer.clone(), Some("wire epoch")),
-            (wire::encode(&hello(wire::EPOCH - 1)), Some("wire epoch")),
-            (wire::encode(&Frame::Welcome), Some("no hello")),
+            (protocol::encode(&hello(protocol::EPOCH - 1)), Some("wire epoch")),
+            (protocol::encode(&Frame::Welcome), Some("no hello")),
             (newer[..newer.len() - 1].to_vec(), Some("within a frame")),
             (Vec::new(), Some("closed before a hello")),
             (vec![255; 40], Some("over the cap")),
@@ -142,14 +142,14 @@
             drop(stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").await);
             let piece = vec![b' '; 1 << 16];
             let mut sent = 0usize;
-            while sent < yard::web::ANSWER_CAP * 4 && stream.write_all(&piece).await.is_ok() {
+            while sent < transport::web::ANSWER_CAP * 4 && stream.write_all(&piece).await.is_ok() {
                 sent += piece.len();
             }
             sent
         };
-        let asking = yard::web::ask(address, "GET", "/", &[], Vec::new(), PATIENCE);
+        let asking = transport::web::ask(address, "GET", "/", &[], Vec::new(), PATIENCE);
         let (sent, answer) = tokio::join!(answering, asking);
         assert!(answer.is_err(), "it read {sent} bytes");
-        assert!(sent < yard::web::ANSWER_CAP * 2, "{sent} bytes were taken");
+        assert!(sent < transport::web::ANSWER_CAP * 2, "{sent} bytes were taken");
     });
 }
