--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -112,7 +112,9 @@
 }
 
 fn take(members: &mut Vec<Member>, identity: NodeId) -> Option<Member> {
-    let at = members.iter().position(|member| member.identity == identity)?;
+    let at = members
+        .iter()
+        .position(|member| member.identity == identity)?;
     Some(members.remove(at))
 }
 
@@ -287,6 +289,10 @@
 
 impl fmt::Display for Member {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} ({:016x}, {}, {})", self.name, self.identity, self.zone, self.address)
+        write!(
+            f,
+            "{} ({:016x}, {}, {})",
+            self.name, self.identity, self.zone, self.address
+        )
     }
 }
--- a/consensus/src/node/election.rs
+++ b/consensus/src/node/election.rs
@@ -29,7 +29,10 @@
             if self.members.is_voter(self.identity) && !self.is_stalled() {
                 self.role = Role::PreCandidate;
                 self.votes = vec![self.identity];
-                let body = Body::PreVote { last_index: self.last(), last_term: self.last_term() };
+                let body = Body::PreVote {
+                    last_index: self.last(),
+                    last_term: self.last_term(),
+                };
                 self.send_to_voters(body);
                 self.tally();
             }
@@ -48,16 +51,28 @@
         self.leader = None;
         self.votes = vec![self.identity];
         self.reset_election_timer();
-        let hard_state =
-            HardState { term: self.hard_state.term + 1, vote: self.identity, ..self.hard_state };
+        let hard_state = HardState {
+            term: self.hard_state.term + 1,
+            vote: self.identity,
+            ..self.hard_state
+        };
         self.persist_hard_state(hard_state);
-        let body = Body::Vote { last_index: self.last(), last_term: self.last_term(), is_transfer };
+        let body = Body::Vote {
+            last_index: self.last(),
+            last_term: self.last_term(),
+            is_transfer,
+        };
         self.send_to_voters(body);
         self.tally();
     }
 
     pub(super) fn tally(&mut self) {
-        let votes = self.members.voters.iter().filter(|v| self.votes.contains(&v.identity)).count();
+        let votes = self
+            .members
+            .voters
+            .iter()
+            .filter(|v| self.votes.contains(&v.identity))
+            .count();
         if votes < self.members.majority() {
             return;
         }
@@ -76,7 +91,9 @@
     }
 
     pub(super) fn has_unsynced_hard_state(&self) -> bool {
-        self.pending.iter().any(|write| matches!(write, Write::HardState(_)))
+        self.pending
+            .iter()
+            .any(|write| matches!(write, Write::HardState(_)))
     }
 
     pub(super) fn become_leader(&mut self) {
@@ -96,7 +113,8 @@
     pub(super) fn step_down(&mut self) {
         if self.role == Role::Leader {
             for (_, _, token) in std::mem::take(&mut self.reads) {
-                self.effects.push(Effect::Refused(token, Refusal::NotLeader));
+                self.effects
+                    .push(Effect::Refused(token, Refusal::NotLeader));
             }
             for (_, (_, token)) in std::mem::take(&mut self.waiting) {
                 self.effects.push(Effect::Refused(token, Refusal::Lost));
--- a/consensus/src/node/membership.rs
+++ b/consensus/src/node/membership.rs
@@ -12,17 +12,34 @@
 
 impl Node {
     pub(super) fn bootstrap(&mut self, member: Member, cluster: u64) {
-        assert!(self.hard_state.cluster == 0, "a cluster is founded once, by a blank node");
-        self.persist_hard_state(HardState { term: 1, vote: 0, cluster });
-        let members = Membership { voters: vec![member], ..Membership::default() };
-        self.append(Entry { index: 1, term: 1, payload: EntryPayload::Membership(members) });
+        assert!(
+            self.hard_state.cluster == 0,
+            "a cluster is founded once, by a blank node"
+        );
+        self.persist_hard_state(HardState {
+            term: 1,
+            vote: 0,
+            cluster,
+        });
+        let members = Membership {
+            voters: vec![member],
+            ..Membership::default()
+        };
+        self.append(Entry {
+            index: 1,
+            term: 1,
+            payload: EntryPayload::Membership(members),
+        });
         self.campaign(true);
     }
 
     /// A membership may change only when the one before it is committed and the
     /// leader has committed in its own term.
     pub fn is_settled(&self) -> bool {
-        let newest = self.membership_history.last().map_or(0, |(index, _)| *index);
+        let newest = self
+            .membership_history
+            .last()
+            .map_or(0, |(index, _)| *index);
         newest <= self.commit && self.term_at(self.commit) == Some(self.hard_state.term)
     }
 
@@ -31,7 +48,11 @@
             Some(token) => self.propose(token, EntryPayload::Membership(members)),
             None => {
                 let payload = EntryPayload::Membership(members);
-                let entry = Entry { index: self.last() + 1, term: self.hard_state.term, payload };
+                let entry = Entry {
+                    index: self.last() + 1,
+                    term: self.hard_state.term,
+                    payload,
+                };
                 self.append(entry);
                 self.heartbeat_due = self.now;
             }
@@ -40,7 +61,9 @@
 
     pub(super) fn add_learner(&mut self, token: Token, member: Member) {
         if self.role != Role::Leader {
-            return self.effects.push(Effect::Refused(token, Refusal::NotLeader));
+            return self
+                .effects
+                .push(Effect::Refused(token, Refusal::NotLeader));
         }
         if let Some(known) = self.members.get(member.identity) {
             if *known == member {
@@ -49,11 +72,15 @@
         }
         if !self.is_settled() {
             let text = "a change of membership is under way".into();
-            return self.effects.push(Effect::Refused(token, Refusal::Unfit(text)));
+            return self
+                .effects
+                .push(Effect::Refused(token, Refusal::Unfit(text)));
         }
         if self.members.retired.contains(&member.identity) {
             let text = "this identity was retired; the node may come as a blank one".into();
-            return self.effects.push(Effect::Refused(token, Refusal::Unfit(text)));
+            return self
+                .effects
+                .push(Effect::Refused(token, Refusal::Unfit(text)));
         }
         let mut members = self.members.clone();
         if let Some(known) = members
@@ -76,7 +103,9 @@
                     .is_some_and(|p| self.now - p.last_heard < 2 * self.timing.election_timeout_ms);
             if is_alive {
                 let text = format!("a node named {} is alive", member.name);
-                return self.effects.push(Effect::Refused(token, Refusal::Unfit(text)));
+                return self
+                    .effects
+                    .push(Effect::Refused(token, Refusal::Unfit(text)));
             }
             return self.remove_member(token, old);
         }
@@ -87,20 +116,28 @@
     pub(super) fn remove_member(&mut self, token: Token, identity: NodeId) {
         let refuse = |text: &str| Effect::Refused(token, Refusal::Unfit(text.into()));
         if self.role != Role::Leader {
-            return self.effects.push(Effect::Refused(token, Refusal::NotLeader));
+            return self
+                .effects
+                .push(Effect::Refused(token, Refusal::NotLeader));
         }
         if !self.is_settled() {
-            return self.effects.push(refuse("a change of membership is under way"));
+            return self
+                .effects
+                .push(refuse("a change of membership is under way"));
         }
         if self.members.get(identity).is_none() {
             return self.effects.push(refuse("there is no such member"));
         }
         if identity == self.identity {
-            return self.effects.push(refuse("the leader retires only after handing over"));
+            return self
+                .effects
+                .push(refuse("the leader retires only after handing over"));
         }
         let mut members = self.members.clone();
         members.voters.retain(|member| member.identity != identity);
-        members.learners.retain(|member| member.identity != identity);
+        members
+            .learners
+            .retain(|member| member.identity != identity);
         members.retired.push(identity);
         self.change(Some(token), members);
     }
@@ -112,7 +149,12 @@
 
     fn health<'a>(&self, member: &'a Member) -> MemberHealth<'a> {
         if member.identity == self.identity {
-            return MemberHealth { member, silent_ms: 0, is_caught_up: true, is_leaving: false };
+            return MemberHealth {
+                member,
+                silent_ms: 0,
+                is_caught_up: true,
+                is_leaving: false,
+            };
         }
         let peer = self.peers.get(&member.identity);
         let silent_ms = peer.map_or(0, |peer| self.now - peer.last_heard);
@@ -120,14 +162,22 @@
             && silent_ms < self.timing.election_timeout_ms;
         let left_at = peer.and_then(|peer| peer.leaving_at);
         let is_leaving = left_at.is_some_and(|at| self.now - at < LEAVING_VALID_MS);
-        MemberHealth { member, silent_ms, is_caught_up, is_leaving }
+        MemberHealth {
+            member,
+            silent_ms,
+            is_caught_up,
+            is_leaving,
+        }
     }
 
     /// Who has synced all up to here may become a voter. It includes the membership in
     /// force, and with it which cluster the member belongs to: a voter that might still
     /// be blank could not vote.
     fn caught_up_index(&self) -> LogIndex {
-        let membership = self.membership_history.last().map_or(0, |(index, _)| *index);
+        let membership = self
+            .membership_history
+            .last()
+            .map_or(0, |(index, _)| *index);
         membership.max(self.commit.saturating_sub(PROMOTION_LAG))
     }
 
@@ -148,7 +198,9 @@
         if !self.is_settled() {
             return;
         }
-        let Ok(change) = self.next_change() else { return };
+        let Ok(change) = self.next_change() else {
+            return;
+        };
         let mut members = self.members.clone();
         members.apply(change);
         self.change(None, members);
@@ -158,11 +210,15 @@
     /// once the others hold all that is committed.
     pub(super) fn leave(&mut self, token: Token, identity: NodeId) {
         if self.role != Role::Leader {
-            return self.effects.push(Effect::Refused(token, Refusal::NotLeader));
+            return self
+                .effects
+                .push(Effect::Refused(token, Refusal::NotLeader));
         }
         if identity == self.identity {
             let text = "the leader leaves only after transferring leadership".into();
-            return self.effects.push(Effect::Refused(token, Refusal::Unfit(text)));
+            return self
+                .effects
+                .push(Effect::Refused(token, Refusal::Unfit(text)));
         }
         if let Some(peer) = self.peers.get_mut(&identity) {
             peer.leaving_at = Some(self.now);
@@ -171,7 +227,8 @@
             return self.effects.push(Effect::ReadReady(token, self.commit));
         }
         let text = "not yet: it is being replaced, or others lack what counts".into();
-        self.effects.push(Effect::Refused(token, Refusal::Unfit(text)));
+        self.effects
+            .push(Effect::Refused(token, Refusal::Unfit(text)));
     }
 
     fn may_leave(&self, identity: NodeId) -> bool {
@@ -193,7 +250,11 @@
 
     /// Whether a majority of the voters without this one has synced all that is committed.
     fn is_held_without(&self, identity: NodeId) -> bool {
-        let voters = self.members.voters.iter().filter(|voter| voter.identity != identity);
+        let voters = self
+            .members
+            .voters
+            .iter()
+            .filter(|voter| voter.identity != identity);
         let holds = |voter: &&Member| match voter.identity == self.identity {
             true => self.synced >= self.commit,
             false => self.peers.get(&voter.identity).is_some_and(|peer| {
--- a/consensus/src/node/mod.rs
+++ b/consensus/src/node/mod.rs
@@ -189,7 +189,9 @@
     }
     /// Index of the last entry in the log, synced or not.
     pub fn last(&self) -> LogIndex {
-        self.log.back().map_or(self.snapshot.index, |entry| entry.index)
+        self.log
+            .back()
+            .map_or(self.snapshot.index, |entry| entry.index)
     }
     /// Whether the oldest unsynced write has waited too long.
     pub fn is_stalled(&self) -> bool {
@@ -201,26 +203,39 @@
     }
     /// What each other node is known, by the leader, to have synced.
     pub fn progress(&self) -> impl Iterator<Item = (NodeId, LogIndex)> + '_ {
-        self.peers.iter().map(|(identity, peer)| (*identity, peer.matched))
+        self.peers
+            .iter()
+            .map(|(identity, peer)| (*identity, peer.matched))
     }
 
     /// When time alone next changes something here: a tick before then finds
     /// nothing to do.
     pub fn due(&self) -> u64 {
         let stall = self.timing.write_stall_ms;
-        let stalls = self.writing.front().map_or(u64::MAX, |(_, _, since)| since + stall + 1);
+        let stalls = self
+            .writing
+            .front()
+            .map_or(u64::MAX, |(_, _, since)| since + stall + 1);
         if self.role != Role::Leader {
             return self.election_due;
         }
         // The moment at which fewer than a majority were heard from lately.
         let last_heard = |voter: &Member| match voter.identity == self.identity {
             true => u64::MAX,
-            false => self.peers.get(&voter.identity).map_or(0, |peer| peer.last_heard),
+            false => self
+                .peers
+                .get(&voter.identity)
+                .map_or(0, |peer| peer.last_heard),
         };
         let mut last_heard: Vec<u64> = self.members.voters.iter().map(last_heard).collect();
         last_heard.sort_unstable_by(|a, b| b.cmp(a));
-        let last = last_heard.get(self.members.majority() - 1).copied().unwrap_or(0);
-        self.heartbeat_due.min(stalls).min(last.saturating_add(self.timing.election_timeout_ms))
+        let last = last_heard
+            .get(self.members.majority() - 1)
+            .copied()
+            .unwrap_or(0);
+        self.heartbeat_due
+            .min(stalls)
+            .min(last.saturating_add(self.timing.election_timeout_ms))
     }
 
     fn random(&mut self, below: u64) -> u64 {
@@ -253,11 +268,15 @@
             return Some(self.snapshot.term);
         }
         let first = self.log.front()?.index;
-        self.log.get(index.checked_sub(first)? as usize).map(|entry| entry.term)
+        self.log
+            .get(index.checked_sub(first)? as usize)
+            .map(|entry| entry.term)
     }
 
     fn last_term(&self) -> Term {
-        self.log.back().map_or(self.snapshot.term, |entry| entry.term)
+        self.log
+            .back()
+            .map_or(self.snapshot.term, |entry| entry.term)
     }
 
     /// Takes an entry into memory; a membership is in force from here on.
@@ -280,7 +299,11 @@
         while self.log.back().is_some_and(|entry| entry.index >= from) {
             self.log.pop_back();
         }
-        while self.membership_history.last().is_some_and(|(index, _)| *index >= from) {
+        while self
+            .membership_history
+            .last()
+            .is_some_and(|(index, _)| *index >= from)
+        {
             self.membership_history.pop();
         }
         if let Some((_, members)) = self.membership_history.last() {
@@ -294,7 +317,10 @@
     }
 
     fn persist_hard_state(&mut self, hard_state: HardState) {
-        assert!(hard_state.term >= self.hard_state.term, "a term never falls");
+        assert!(
+            hard_state.term >= self.hard_state.term,
+            "a term never falls"
+        );
         self.hard_state = hard_state;
         self.pending.push(Write::HardState(hard_state));
     }
@@ -310,9 +336,15 @@
             term: self.hard_state.term,
             body,
         };
-        let rests_on_hard_state =
-            self.pending.iter().any(|write| matches!(write, Write::HardState(_)));
-        let ticket = if rests_on_hard_state { self.ticket + 1 } else { self.hard_state_ticket };
+        let rests_on_hard_state = self
+            .pending
+            .iter()
+            .any(|write| matches!(write, Write::HardState(_)));
+        let ticket = if rests_on_hard_state {
+            self.ticket + 1
+        } else {
+            self.hard_state_ticket
+        };
         if ticket > self.synced_ticket {
             self.held.push_back((ticket, message));
         } else {
@@ -326,7 +358,11 @@
             return;
         }
         self.ticket += 1;
-        if self.pending.iter().any(|write| matches!(write, Write::HardState(_))) {
+        if self
+            .pending
+            .iter()
+            .any(|write| matches!(write, Write::HardState(_)))
+        {
             self.hard_state_ticket = self.ticket;
         }
         self.writing.push_back((self.ticket, self.last(), self.now));
@@ -365,13 +401,19 @@
 
     fn propose(&mut self, token: Token, payload: EntryPayload) {
         if self.role != Role::Leader {
-            return self.effects.push(Effect::Refused(token, Refusal::NotLeader));
+            return self
+                .effects
+                .push(Effect::Refused(token, Refusal::NotLeader));
         }
         if (self.last() - self.commit) as usize >= self.timing.max_uncommitted || self.is_stalled()
         {
             return self.effects.push(Effect::Refused(token, Refusal::Busy));
         }
-        let entry = Entry { index: self.last() + 1, term: self.hard_state.term, payload };
+        let entry = Entry {
+            index: self.last() + 1,
+            term: self.hard_state.term,
+            payload,
+        };
         self.waiting.insert(entry.index, (entry.term, token));
         self.append(entry);
         // Entries go out with the next heartbeat, which is now: those proposed in
--- a/consensus/src/node/reads.rs
+++ b/consensus/src/node/reads.rs
@@ -5,7 +5,9 @@
 impl Node {
     pub(super) fn read_index(&mut self, token: Token) {
         if self.role != Role::Leader {
-            return self.effects.push(Effect::Refused(token, Refusal::NotLeader));
+            return self
+                .effects
+                .push(Effect::Refused(token, Refusal::NotLeader));
         }
         if self.reads.len() >= self.timing.max_uncommitted * 4 {
             return self.effects.push(Effect::Refused(token, Refusal::Busy));
@@ -31,10 +33,18 @@
             })
             .collect();
         rounds.sort_unstable_by(|a, b| b.cmp(a));
-        let reached = rounds.get(self.members.majority() - 1).copied().unwrap_or(0);
-        while self.reads.front().is_some_and(|(round, _, _)| *round <= reached) {
+        let reached = rounds
+            .get(self.members.majority() - 1)
+            .copied()
+            .unwrap_or(0);
+        while self
+            .reads
+            .front()
+            .is_some_and(|(round, _, _)| *round <= reached)
+        {
             let (_, index, token) = self.reads.pop_front().expect("looked at above");
-            self.effects.push(Effect::ReadReady(token, index.max(self.commit)));
+            self.effects
+                .push(Effect::ReadReady(token, index.max(self.commit)));
         }
     }
 }
--- a/consensus/src/node/receive.rs
+++ b/consensus/src/node/receive.rs
@@ -5,24 +5,39 @@
 
 impl Node {
     pub(super) fn receive(&mut self, message: Message) {
-        let Message { from, to, cluster, term, body } = message;
+        let Message {
+            from,
+            to,
+            cluster,
+            term,
+            body,
+        } = message;
         // A blank node follows whichever cluster admitted it, and no other.
-        let is_leading = matches!(body, Body::AppendEntries { .. } | Body::InstallSnapshot { .. });
+        let is_leading = matches!(
+            body,
+            Body::AppendEntries { .. } | Body::InstallSnapshot { .. }
+        );
         let is_joining = self.hard_state.cluster == 0 && is_leading && cluster != 0;
         if to != self.identity || (cluster != self.hard_state.cluster && !is_joining) {
             return;
         }
-        let is_steady =
-            self.leader_heard_at.is_some_and(|at| self.now - at < self.timing.election_timeout_ms)
-                || self.role == Role::Leader;
+        let is_steady = self
+            .leader_heard_at
+            .is_some_and(|at| self.now - at < self.timing.election_timeout_ms)
+            || self.role == Role::Leader;
         match body {
-            Body::PreVote { last_index, last_term } => {
+            Body::PreVote {
+                last_index,
+                last_term,
+            } => {
                 let granted = term >= self.hard_state.term
                     && !is_steady
                     && (last_term, last_index) >= (self.last_term(), self.last());
                 return self.send(from, Body::PreVoteResponse { granted });
             }
-            Body::Vote { is_transfer: false, .. } if is_steady => return,
+            Body::Vote {
+                is_transfer: false, ..
+            } if is_steady => return,
             _ => {}
         }
         if term > self.hard_state.term || is_joining {
@@ -34,7 +49,11 @@
                 }
                 self.leader = None;
                 let term = term.max(self.hard_state.term);
-                self.persist_hard_state(HardState { term, vote: 0, cluster });
+                self.persist_hard_state(HardState {
+                    term,
+                    vote: 0,
+                    cluster,
+                });
             }
         }
         if term < self.hard_state.term {
@@ -47,8 +66,11 @@
             }
             // The stale sender learns of the newer term from any answer.
             if is_leading {
-                let body =
-                    Body::AppendEntriesResponse { is_match: false, matched: self.last(), round: 0 };
+                let body = Body::AppendEntriesResponse {
+                    is_match: false,
+                    matched: self.last(),
+                    round: 0,
+                };
                 self.send(from, body);
             }
             return;
@@ -60,13 +82,20 @@
                     self.grant(from);
                 }
             }
-            Body::Vote { last_index, last_term, .. } => {
+            Body::Vote {
+                last_index,
+                last_term,
+                ..
+            } => {
                 let is_free = self.hard_state.vote == 0 || self.hard_state.vote == from;
                 let is_behind = (last_term, last_index) < (self.last_term(), self.last());
                 let granted = is_free && !is_behind && !self.is_stalled();
                 if granted {
                     if self.hard_state.vote == 0 {
-                        let hard_state = HardState { vote: from, ..self.hard_state };
+                        let hard_state = HardState {
+                            vote: from,
+                            ..self.hard_state
+                        };
                         self.persist_hard_state(hard_state);
                     }
                     self.reset_election_timer();
@@ -78,7 +107,13 @@
                     self.grant(from);
                 }
             }
-            Body::AppendEntries { prior_index, prior_term, commit, round, entries } => {
+            Body::AppendEntries {
+                prior_index,
+                prior_term,
+                commit,
+                round,
+                entries,
+            } => {
                 self.follow(from);
                 self.handle_append_entries(from, prior_index, prior_term, commit, round, entries);
             }
@@ -86,7 +121,11 @@
                 self.follow(from);
                 self.install(from, round, snapshot);
             }
-            Body::AppendEntriesResponse { is_match, matched, round } => {
+            Body::AppendEntriesResponse {
+                is_match,
+                matched,
+                round,
+            } => {
                 if self.role == Role::Leader {
                     self.on_answer(from, is_match, matched, round);
                 }
--- a/consensus/src/node/replication.rs
+++ b/consensus/src/node/replication.rs
@@ -20,8 +20,12 @@
     pub(super) fn broadcast(&mut self) {
         self.round += 1;
         self.heartbeat_due = self.now + self.timing.heartbeat_ms;
-        let others: Vec<NodeId> =
-            self.members.all().map(|m| m.identity).filter(|id| *id != self.identity).collect();
+        let others: Vec<NodeId> = self
+            .members
+            .all()
+            .map(|m| m.identity)
+            .filter(|id| *id != self.identity)
+            .collect();
         self.peers.retain(|identity, _| others.contains(identity));
         for other in others {
             self.replicate_to(other);
@@ -54,7 +58,13 @@
                 let commit = 0;
                 self.send(
                     to,
-                    Body::AppendEntries { prior_index, prior_term, commit, round, entries },
+                    Body::AppendEntries {
+                        prior_index,
+                        prior_term,
+                        commit,
+                        round,
+                        entries,
+                    },
                 );
             }
             return;
@@ -78,7 +88,16 @@
             self.peers.get_mut(&to).expect("entered above").next = entry.index + 1;
         }
         let commit = self.commit;
-        self.send(to, Body::AppendEntries { prior_index, prior_term, commit, round, entries });
+        self.send(
+            to,
+            Body::AppendEntries {
+                prior_index,
+                prior_term,
+                commit,
+                round,
+                entries,
+            },
+        );
     }
 
     pub(super) fn handle_append_entries(
@@ -90,7 +109,10 @@
         round: u64,
         entries: Vec<Entry>,
     ) {
-        let is_whole = entries.iter().zip(prior_index + 1..).all(|(e, index)| e.index == index);
+        let is_whole = entries
+            .iter()
+            .zip(prior_index + 1..)
+            .all(|(e, index)| e.index == index);
         if !is_whole {
             return;
         }
@@ -99,8 +121,14 @@
         let is_known = prior_index < floor || self.term_at(prior_index) == Some(prior_term);
         if !is_known {
             let matched = self.last_before_conflict(prior_index).max(self.commit);
-            return self
-                .send(from, Body::AppendEntriesResponse { is_match: false, matched, round });
+            return self.send(
+                from,
+                Body::AppendEntriesResponse {
+                    is_match: false,
+                    matched,
+                    round,
+                },
+            );
         }
         let reach = entries.last().map_or(prior_index, |entry| entry.index);
         for entry in entries {
@@ -114,7 +142,14 @@
         }
         self.commit = self.commit.max(commit.min(reach));
         let matched = reach.max(floor).min(self.synced);
-        self.send(from, Body::AppendEntriesResponse { is_match: true, matched, round });
+        self.send(
+            from,
+            Body::AppendEntriesResponse {
+                is_match: true,
+                matched,
+                round,
+            },
+        );
     }
 
     /// Where the leader tries next after a mismatch at `prior_index`: before all
@@ -124,7 +159,9 @@
         match self.term_at(prior_index) {
             Some(conflict) => {
                 let place = self.log.partition_point(|entry| entry.term < conflict);
-                self.log.get(place).map_or(self.snapshot.index, |entry| entry.index - 1)
+                self.log
+                    .get(place)
+                    .map_or(self.snapshot.index, |entry| entry.index - 1)
             }
             None => self.last(),
         }
@@ -138,7 +175,9 @@
         round: u64,
     ) {
         let (now, last) = (self.now, self.last());
-        let Some(peer) = self.peers.get_mut(&from) else { return };
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return;
+        };
         peer.last_heard = now;
         let is_newest = round >= peer.round;
         peer.round = peer.round.max(round);
@@ -155,12 +194,18 @@
     /// Whether something is to be sent at once.
     fn on_match(&mut self, from: NodeId, matched: LogIndex) -> bool {
         let (last, round) = (self.last(), self.round);
-        let peer = self.peers.get_mut(&from).expect("its answer is being looked at");
+        let peer = self
+            .peers
+            .get_mut(&from)
+            .expect("its answer is being looked at");
         peer.matched = peer.matched.max(matched);
         peer.next = peer.next.max(peer.matched + 1);
         let (next, matched) = (peer.next, peer.matched);
         let is_in_log = self.term_at(next - 1).is_some();
-        let peer = self.peers.get_mut(&from).expect("its answer is being looked at");
+        let peer = self
+            .peers
+            .get_mut(&from)
+            .expect("its answer is being looked at");
         if peer.snapshot_sent.is_some() {
             // While a snapshot is on its way nothing is pushed out of turn.
             if !is_in_log {
@@ -184,13 +229,20 @@
         is_newest: bool,
     ) -> bool {
         let own_round = self.round;
-        let peer = self.peers.get_mut(&from).expect("its answer is being looked at");
-        let is_late =
-            peer.rewind.is_some_and(|last| round <= last.round && matched >= last.matched);
+        let peer = self
+            .peers
+            .get_mut(&from)
+            .expect("its answer is being looked at");
+        let is_late = peer
+            .rewind
+            .is_some_and(|last| round <= last.round && matched >= last.matched);
         if is_late {
             return false;
         }
-        peer.rewind = Some(Rewind { matched, round: own_round });
+        peer.rewind = Some(Rewind {
+            matched,
+            round: own_round,
+        });
         // A peer that denies what it claimed before may have an older disk. An answer
         // that was passed by a newer one may not lead back so far.
         let floor = if is_newest { 0 } else { peer.matched };
@@ -226,7 +278,11 @@
                 let claim = self.claim(matched);
                 self.send(
                     leader,
-                    Body::AppendEntriesResponse { is_match: true, matched: claim, round: 0 },
+                    Body::AppendEntriesResponse {
+                        is_match: true,
+                        matched: claim,
+                        round: 0,
+                    },
                 );
             }
             _ => {}
@@ -251,7 +307,10 @@
                 .iter()
                 .map(|voter| match voter.identity == self.identity {
                     true => self.synced,
-                    false => self.peers.get(&voter.identity).map_or(0, |peer| peer.matched),
+                    false => self
+                        .peers
+                        .get(&voter.identity)
+                        .map_or(0, |peer| peer.matched),
                 })
                 .collect();
             marks.sort_unstable_by(|a, b| b.cmp(a));
@@ -278,7 +337,10 @@
             self.applied_bytes += command_bytes(&entry);
             // A node that comes back applies memberships again that were before it.
             let was_removed = matches!(&entry.payload, EntryPayload::Membership(_))
-                && self.membership_history.last().is_some_and(|(newest, _)| *newest == index)
+                && self
+                    .membership_history
+                    .last()
+                    .is_some_and(|(newest, _)| *newest == index)
                 && self.members.get(self.identity).is_none();
             self.effects.push(Effect::Apply(entry, token));
             if was_removed && self.role == Role::Leader {
--- a/consensus/src/node/snapshot.rs
+++ b/consensus/src/node/snapshot.rs
@@ -35,15 +35,23 @@
             self.effects.push(Effect::Restore(snapshot));
         }
         let matched = self.synced.min(self.commit);
-        self.send(from, Body::AppendEntriesResponse { is_match: true, matched, round });
+        self.send(
+            from,
+            Body::AppendEntriesResponse {
+                is_match: true,
+                matched,
+                round,
+            },
+        );
     }
 
     pub(super) fn take_snapshot(&mut self, index: LogIndex, state: Vec<u8>) {
         if index <= self.snapshot.index || index > self.applied {
             return;
         }
-        let term =
-            self.term_at(index).expect("what is applied and past the snapshot is in the log");
+        let term = self
+            .term_at(index)
+            .expect("what is applied and past the snapshot is in the log");
         let members = self
             .membership_history
             .iter()
@@ -57,7 +65,13 @@
             self.applied_bytes -= command_bytes(entry);
             self.log.pop_front();
         }
-        self.snapshot = Snapshot { index, term, cluster: self.hard_state.cluster, members, state };
+        self.snapshot = Snapshot {
+            index,
+            term,
+            cluster: self.hard_state.cluster,
+            members,
+            state,
+        };
         self.pending.push(Write::Snapshot(self.snapshot.clone()));
     }
 }
--- a/consensus/src/pack.rs
+++ b/consensus/src/pack.rs
@@ -83,7 +83,8 @@
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
     let mut cursor = Cursor::new(Vec::new());
-    item.write_options(&mut cursor, Endian::Big, ()).expect("memory takes what is written");
+    item.write_options(&mut cursor, Endian::Big, ())
+        .expect("memory takes what is written");
     cursor.into_inner()
 }
 
@@ -97,6 +98,9 @@
         .map_err(|error| error.to_string().replace('\n', " "))?;
     match cursor.position() as usize == bytes.len() {
         true => Ok(item),
-        false => Err(format!("{} bytes too many", bytes.len() - cursor.position() as usize)),
+        false => Err(format!(
+            "{} bytes too many",
+            bytes.len() - cursor.position() as usize
+        )),
     }
 }
--- a/consensus/src/repair.rs
+++ b/consensus/src/repair.rs
@@ -92,7 +92,11 @@
     leader: NodeId,
     policy: &RepairPolicy,
 ) -> Option<NodeId> {
-    let others = || voters.iter().filter(|voter| voter.member.identity != leader);
+    let others = || {
+        voters
+            .iter()
+            .filter(|voter| voter.member.identity != leader)
+    };
     let silent = others()
         .filter(|voter| voter.silent_ms >= policy.replace_after_ms)
         .max_by_key(|voter| voter.silent_ms);
@@ -123,7 +127,9 @@
 /// The voter without which the others are spread best.
 fn most_dispensable(voters: &[MemberHealth], leader: NodeId) -> Option<NodeId> {
     let others = members(voters).filter(|voter| voter.identity != leader);
-    others.min_by_key(|voter| spread_without(voters, voter.identity)).map(|voter| voter.identity)
+    others
+        .min_by_key(|voter| spread_without(voters, voter.identity))
+        .map(|voter| voter.identity)
 }
 
 /// A ready learner whose place among the voters, in exchange for one of them,
@@ -141,7 +147,10 @@
     let exchanged = |learner: &&MemberHealth| {
         let others = now.iter().filter(|voter| voter.identity != leader);
         let spread_after = |gone: &&&Member| {
-            let staying = now.iter().copied().filter(|voter| voter.identity != gone.identity);
+            let staying = now
+                .iter()
+                .copied()
+                .filter(|voter| voter.identity != gone.identity);
             Spread::of(&staying.chain([learner.member]).collect::<Vec<_>>())
         };
         others.map(|gone| spread_after(&gone)).min()
@@ -154,8 +163,11 @@
 }
 
 fn learner_to_forget(learners: &[MemberHealth], policy: &RepairPolicy) -> Option<NodeId> {
-    let gone = learners.iter().filter(|learner| learner.silent_ms >= policy.forget_after_ms);
-    gone.max_by_key(|learner| learner.silent_ms).map(|learner| learner.member.identity)
+    let gone = learners
+        .iter()
+        .filter(|learner| learner.silent_ms >= policy.forget_after_ms);
+    gone.max_by_key(|learner| learner.silent_ms)
+        .map(|learner| learner.member.identity)
 }
 
 fn members<'a>(health: &'a [MemberHealth]) -> impl Iterator<Item = &'a Member> {
@@ -163,7 +175,9 @@
 }
 
 fn spread_without(voters: &[MemberHealth], gone: NodeId) -> Spread {
-    let staying: Vec<&Member> = members(voters).filter(|voter| voter.identity != gone).collect();
+    let staying: Vec<&Member> = members(voters)
+        .filter(|voter| voter.identity != gone)
+        .collect();
     Spread::of(&staying)
 }
 
@@ -185,7 +199,10 @@
         let regions = counts(voters.iter().map(|voter| voter.region.as_str()));
         let zones = counts(voters.iter().map(|voter| voter.zone.as_str()));
         let excess = |counts: &[usize]| {
-            counts.iter().max().map_or(0, |fullest| fullest.saturating_sub(may_be_lost))
+            counts
+                .iter()
+                .max()
+                .map_or(0, |fullest| fullest.saturating_sub(may_be_lost))
         };
         let crowding = |counts: &[usize]| counts.iter().map(|count| count * count).sum();
         Spread {
--- a/consensus/src/wal.rs
+++ b/consensus/src/wal.rs
@@ -112,7 +112,9 @@
     if length == 0 || length > RECORD_CAP {
         return Err("a record's length makes no sense");
     }
-    let body = bytes.get(at + 8..at + 8 + length).ok_or("a record ends early")?;
+    let body = bytes
+        .get(at + 8..at + 8 + length)
+        .ok_or("a record ends early")?;
     match crc32fast::hash(body) == sum {
         true => Ok((body, at + 8 + length)),
         false => Err("a record's checksum is wrong"),
@@ -126,7 +128,11 @@
 }
 
 fn check_head(file: &str, bytes: &[u8], magic: &[u8; 4]) -> Result<(), Damage> {
-    let damage = |text: String| Damage { file: file.into(), offset: 0, text };
+    let damage = |text: String| Damage {
+        file: file.into(),
+        offset: 0,
+        text,
+    };
     if bytes.len() < HEAD || &bytes[..4] != magic {
         return Err(damage("this is not a file of rushport's".into()));
     }
@@ -139,8 +145,10 @@
 }
 
 fn numbers(names: &[String], kind: &str) -> Vec<u64> {
-    let mut numbers: Vec<u64> =
-        names.iter().filter_map(|name| name.strip_prefix(kind)?.parse().ok()).collect();
+    let mut numbers: Vec<u64> = names
+        .iter()
+        .filter_map(|name| name.strip_prefix(kind)?.parse().ok())
+        .collect();
     numbers.sort_unstable();
     numbers
 }
@@ -167,15 +175,23 @@
             spans.push((*number, kept.entries.last().map_or(0, |entry| entry.index)));
         }
         let (base, base_term) = kept.snapshot.as_ref().map_or((0, 0), |p| (p.index, p.term));
-        let is_other_branch =
-            kept.entries.iter().any(|entry| entry.index == base && entry.term != base_term);
+        let is_other_branch = kept
+            .entries
+            .iter()
+            .any(|entry| entry.index == base && entry.term != base_term);
         let count = kept.entries.len();
-        kept.entries.retain(|entry| entry.index > base && !is_other_branch);
+        kept.entries
+            .retain(|entry| entry.index > base && !is_other_branch);
         let was_reset = count > 0 && kept.entries.is_empty();
         if let Some(first) = kept.entries.first().filter(|entry| entry.index != base + 1) {
             let text = format!("the log begins at entry {}, past {base}", first.index);
             let file = segment(numbers.first().copied().unwrap_or(0));
-            return Err(Damage { file, offset: HEAD as u64, text }.into());
+            return Err(Damage {
+                file,
+                offset: HEAD as u64,
+                text,
+            }
+            .into());
         }
         let mut segments = WriteAheadLog {
             files,
@@ -310,7 +326,11 @@
 fn read_picture(files: &impl Files, name: &str) -> anyhow::Result<Snapshot> {
     let bytes = files.read(name)?;
     check_head(name, &bytes, PICTURE)?;
-    let damage = |text: String| Damage { file: name.into(), offset: HEAD as u64, text };
+    let damage = |text: String| Damage {
+        file: name.into(),
+        offset: HEAD as u64,
+        text,
+    };
     let (body, end) = record(&bytes, HEAD).map_err(|text| damage(text.into()))?;
     if end != bytes.len() {
         return Err(damage("something follows the snapshot".into()).into());
@@ -338,7 +358,11 @@
     check_head(&name, &bytes, SEGMENT)?;
     let mut at = HEAD;
     while at < bytes.len() {
-        let damage = |text: String| Damage { file: name.clone(), offset: at as u64, text };
+        let damage = |text: String| Damage {
+            file: name.clone(),
+            offset: at as u64,
+            text,
+        };
         let (body, next) = match record(&bytes, at) {
             Ok(found) => found,
             Err(text) => {
@@ -358,11 +382,17 @@
             Record::Cut(from) => kept.entries.retain(|entry| entry.index < from),
             Record::Reset(..) => kept.entries.clear(),
             Record::Entry(entry) => {
-                while kept.entries.last().is_some_and(|known| known.index >= entry.index) {
+                while kept
+                    .entries
+                    .last()
+                    .is_some_and(|known| known.index >= entry.index)
+                {
                     kept.entries.pop();
                 }
-                let is_next =
-                    kept.entries.last().is_none_or(|known| known.index + 1 == entry.index);
+                let is_next = kept
+                    .entries
+                    .last()
+                    .is_none_or(|known| known.index + 1 == entry.index);
                 if !is_next {
                     let text = format!("entry {} does not follow the one before", entry.index);
                     return Err(damage(text).into());
@@ -404,7 +434,10 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let path = self.path.join(name);
-        let mut file = std::fs::OpenOptions::new().create(true).append(true).open(path)?;
+        let mut file = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(path)?;
         io::Write::write_all(&mut file, bytes)
     }
 
@@ -413,7 +446,10 @@
     }
 
     fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
-        std::fs::OpenOptions::new().write(true).open(self.path.join(name))?.set_len(length)
+        std::fs::OpenOptions::new()
+            .write(true)
+            .open(self.path.join(name))?
+            .set_len(length)
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
--- a/consensus/tests/back.rs
+++ b/consensus/tests/back.rs
@@ -18,7 +18,10 @@
 
 fn members(voters: &[u64]) -> EntryPayload {
     let voters = voters.iter().copied().map(member).collect();
-    EntryPayload::Membership(Membership { voters, ..Membership::default() })
+    EntryPayload::Membership(Membership {
+        voters,
+        ..Membership::default()
+    })
 }
 
 /// Guards: service returns after everything stopped. A leader that comes back
@@ -26,15 +29,27 @@
 /// removed by those.
 #[test]
 fn a_leader_that_applies_memberships_from_before_it_goes_on_leading() {
-    let entry = |index, payload| Entry { index, term: 1, payload };
+    let entry = |index, payload| Entry {
+        index,
+        term: 1,
+        payload,
+    };
     let entries = vec![
         entry(1, members(&[2])),
         entry(2, members(&[2, 3])),
         entry(3, members(&[1, 2, 3])),
         entry(4, EntryPayload::Command(vec![1])),
     ];
-    let hard_state = HardState { term: 3, vote: 0, cluster: CLUSTER };
-    let kept = PersistedState { hard_state, snapshot: None, entries };
+    let hard_state = HardState {
+        term: 3,
+        vote: 0,
+        cluster: CLUSTER,
+    };
+    let kept = PersistedState {
+        hard_state,
+        snapshot: None,
+        entries,
+    };
     let mut node = Node::new(1, Timing::default(), 9, 1_000, kept);
     let mut now = 1_000;
     let mut applied = 0;
@@ -56,12 +71,34 @@
         step(&mut node, now, Input::Tick);
     }
     let heard = |term: u64, body: Body| {
-        Input::Received(Message { from: 2, to: 1, cluster: CLUSTER, term, body })
+        Input::Received(Message {
+            from: 2,
+            to: 1,
+            cluster: CLUSTER,
+            term,
+            body,
+        })
     };
-    step(&mut node, now, heard(3, Body::PreVoteResponse { granted: true }));
-    step(&mut node, now, heard(4, Body::VoteResponse { granted: true }));
+    step(
+        &mut node,
+        now,
+        heard(3, Body::PreVoteResponse { granted: true }),
+    );
+    step(
+        &mut node,
+        now,
+        heard(4, Body::VoteResponse { granted: true }),
+    );
     assert_eq!(node.role(), Role::Leader);
-    let answer = Body::AppendEntriesResponse { is_match: true, matched: 5, round: 1 };
-    assert_eq!(step(&mut node, now + 10, heard(4, answer)), 5, "it applies the whole log");
+    let answer = Body::AppendEntriesResponse {
+        is_match: true,
+        matched: 5,
+        round: 1,
+    };
+    assert_eq!(
+        step(&mut node, now + 10, heard(4, answer)),
+        5,
+        "it applies the whole log"
+    );
     assert_eq!(node.role(), Role::Leader);
 }
--- a/consensus/tests/catching_up.rs
+++ b/consensus/tests/catching_up.rs
@@ -17,7 +17,9 @@
 
 fn follower(cluster: &Cluster) -> usize {
     let leader = cluster.leader().expect("one leads");
-    (0..cluster.machines.len()).find(|at| *at != leader).expect("there are others")
+    (0..cluster.machines.len())
+        .find(|at| *at != leader)
+        .expect("there are others")
 }
 
 /// Puts a follower so many changes behind, and ends its process meanwhile.
@@ -37,7 +39,10 @@
     cluster.start(at);
     let took = cluster.run_until(limit_ms, |cluster| cluster.is_current(at));
     let took = took.unwrap_or_else(|| {
-        panic!("node {at} is not current after {limit_ms} ms: {:?}", cluster.traffic[at])
+        panic!(
+            "node {at} is not current after {limit_ms} ms: {:?}",
+            cluster.traffic[at]
+        )
     });
     (took, cluster.traffic[at])
 }
@@ -61,7 +66,10 @@
     let took = cluster.run_until(2_000, |cluster| cluster.settled_leader() == Some(at));
     assert!(took.is_some(), "node {at} leads");
     let applied = cluster.node(at).expect("it runs").applied();
-    assert!(applied >= acknowledged, "it leads with {applied}, and {acknowledged} was there");
+    assert!(
+        applied >= acknowledged,
+        "it leads with {applied}, and {acknowledged} was there"
+    );
 }
 
 /// Guards: a restarted member catches up and can lead, however far it is behind.
@@ -77,7 +85,10 @@
                 }
                 let (took, traffic) = catch_up(&mut cluster, at, CATCH_UP_MS);
                 println!("{nodes} members, {behind} behind, storm {storm}: {took} ms, {traffic:?}");
-                assert!(traffic.snapshots <= 1, "a snapshot is sent once: {traffic:?}");
+                assert!(
+                    traffic.snapshots <= 1,
+                    "a snapshot is sent once: {traffic:?}"
+                );
                 assert!(traffic.entries <= 270, "an entry is sent once: {traffic:?}");
                 lead(&mut cluster, at);
             }
@@ -132,7 +143,9 @@
             cluster.machines[at].disk.set_full(false);
             cluster.storm(60, STORM_MS);
             let is_synced = |cluster: &Cluster| {
-                let leader = cluster.settled_leader().and_then(|leader| cluster.node(leader));
+                let leader = cluster
+                    .settled_leader()
+                    .and_then(|leader| cluster.node(leader));
                 let identity = cluster.machines[at].member.identity;
                 let matched = leader
                     .and_then(|leader| leader.progress().find(|(known, _)| *known == identity));
@@ -155,14 +168,20 @@
 #[test]
 fn a_restarted_member_catches_up_with_large_documents() {
     for behind in [10, 300] {
-        let conditions =
-            Conditions { change_bytes: 60_000, state_bytes: 400_000, ..Conditions::default() };
+        let conditions = Conditions {
+            change_bytes: 60_000,
+            state_bytes: 400_000,
+            ..Conditions::default()
+        };
         let mut cluster = Cluster::led(5, conditions);
         let at = put_behind(&mut cluster, behind);
         cluster.storm(100, STORM_MS);
         let (took, traffic) = catch_up(&mut cluster, at, CATCH_UP_MS);
         println!("60 KB, {behind} behind: {took} ms, {traffic:?}");
-        assert!(traffic.snapshots <= 1, "a snapshot is sent once: {traffic:?}");
+        assert!(
+            traffic.snapshots <= 1,
+            "a snapshot is sent once: {traffic:?}"
+        );
         lead(&mut cluster, at);
     }
 }
@@ -218,7 +237,10 @@
 #[test]
 fn a_receiver_that_dies_in_the_middle_catches_up_at_its_next_start() {
     for uptime in (20..600).step_by(20) {
-        let conditions = Conditions { seed: uptime, ..Conditions::default() };
+        let conditions = Conditions {
+            seed: uptime,
+            ..Conditions::default()
+        };
         let mut cluster = Cluster::led(5, conditions);
         let at = put_behind(&mut cluster, 300);
         cluster.storm(200, STORM_MS);
@@ -229,7 +251,10 @@
             cluster.run(200);
         }
         let (took, _) = catch_up(&mut cluster, at, CATCH_UP_MS);
-        assert!(took <= CATCH_UP_MS, "up for {uptime} ms at a time: {took} ms");
+        assert!(
+            took <= CATCH_UP_MS,
+            "up for {uptime} ms at a time: {took} ms"
+        );
         lead(&mut cluster, at);
     }
 }
@@ -240,7 +265,13 @@
 fn a_sender_that_loses_leadership_in_the_middle_is_replaced() {
     for moment in (10..500).step_by(35) {
         for is_crash in [false, true] {
-            let mut cluster = Cluster::led(5, Conditions { seed: moment, ..Default::default() });
+            let mut cluster = Cluster::led(
+                5,
+                Conditions {
+                    seed: moment,
+                    ..Default::default()
+                },
+            );
             let at = put_behind(&mut cluster, 300);
             cluster.start(at);
             cluster.run(moment);
@@ -263,16 +294,27 @@
 #[test]
 fn a_member_with_old_state_does_not_lead() {
     for seed in 1..=20 {
-        let mut cluster = Cluster::led(5, Conditions { seed, ..Conditions::default() });
+        let mut cluster = Cluster::led(
+            5,
+            Conditions {
+                seed,
+                ..Conditions::default()
+            },
+        );
         let old = put_behind(&mut cluster, if seed % 2 == 0 { 30 } else { 300 });
         let acknowledged = cluster.acknowledged;
         let leader = cluster.leader().expect("one leads");
-        let another = (0..5).find(|at| *at != leader && *at != old).expect("there are five");
+        let another = (0..5)
+            .find(|at| *at != leader && *at != old)
+            .expect("there are five");
         cluster.crash(leader);
         cluster.crash(another);
         cluster.start(old);
         let took = cluster.run_until(6_000, |cluster| {
-            assert_ne!(cluster.leader().filter(|at| !cluster.is_current(*at)), Some(old));
+            assert_ne!(
+                cluster.leader().filter(|at| !cluster.is_current(*at)),
+                Some(old)
+            );
             cluster.settled_leader().is_some() && cluster.is_current(old)
         });
         assert!(took.is_some(), "seed {seed}: three of five go on");
@@ -280,7 +322,10 @@
         assert!(cluster.node(now).expect("it runs").applied() >= acknowledged);
         cluster.read_index();
         cluster.run(1_000);
-        assert_eq!(cluster.reads, 1, "seed {seed}: the leader answers, with all of it");
+        assert_eq!(
+            cluster.reads, 1,
+            "seed {seed}: the leader answers, with all of it"
+        );
     }
 }
 
@@ -289,7 +334,13 @@
 #[test]
 fn a_new_leader_answers_reads_with_all_that_was_acknowledged() {
     for seed in 1..=20 {
-        let mut cluster = Cluster::led(5, Conditions { seed, ..Conditions::default() });
+        let mut cluster = Cluster::led(
+            5,
+            Conditions {
+                seed,
+                ..Conditions::default()
+            },
+        );
         cluster.storm(1_000, 7);
         cluster.run(1_000 + seed * 3);
         let leader = cluster.leader().expect("one leads");
@@ -359,7 +410,10 @@
 /// is not sent once for each message that was on its way.
 #[test]
 fn a_lost_message_is_sent_again_once() {
-    let conditions = Conditions { change_bytes: 60_000, ..Conditions::default() };
+    let conditions = Conditions {
+        change_bytes: 60_000,
+        ..Conditions::default()
+    };
     let mut cluster = Cluster::led(5, conditions);
     cluster.run(1_000);
     let at = follower(&cluster);
@@ -378,7 +432,11 @@
     let traffic = cluster.traffic[at];
     println!("a lost message: {took:?} ms, {traffic:?}");
     assert!(took.is_some_and(|took| took < 500), "{took:?}");
-    assert!(traffic.entries <= 3 * 30, "{} entries for 30", traffic.entries);
+    assert!(
+        traffic.entries <= 3 * 30,
+        "{} entries for 30",
+        traffic.entries
+    );
 }
 
 /// What befalls a cluster in a row of the drawn table.
@@ -425,9 +483,16 @@
             cluster.run(pause);
             trouble(&mut cluster);
         }
-        let is_calm_link =
-            Conditions { lost: 0, duplicated: 0, jitter_ms: 0, ..Default::default() };
-        cluster.conditions = Conditions { policy: cluster.conditions.policy, ..is_calm_link };
+        let is_calm_link = Conditions {
+            lost: 0,
+            duplicated: 0,
+            jitter_ms: 0,
+            ..Default::default()
+        };
+        cluster.conditions = Conditions {
+            policy: cluster.conditions.policy,
+            ..is_calm_link
+        };
         cluster.cut.clear();
         cluster.snapshots_to_lose = 0;
         for at in 0..5 {
@@ -437,7 +502,11 @@
         }
         let acknowledged = cluster.acknowledged;
         let is_well = |cluster: &Cluster| {
-            let has_all = |at| cluster.node(at).is_some_and(|node| node.applied() >= acknowledged);
+            let has_all = |at| {
+                cluster
+                    .node(at)
+                    .is_some_and(|node| node.applied() >= acknowledged)
+            };
             cluster.settled_leader().is_some() && (0..5).all(has_all)
         };
         let took = cluster.run_until(10_000, is_well);
--- a/consensus/tests/common/mod.rs
+++ b/consensus/tests/common/mod.rs
@@ -114,7 +114,9 @@
     pub fn step(&mut self, at: usize, input: Input) {
         let now = self.now;
         let machine = &mut self.machines[at];
-        let Some(node) = machine.node.as_mut() else { return };
+        let Some(node) = machine.node.as_mut() else {
+            return;
+        };
         machine.is_calm = matches!(input, Input::Tick);
         let life = machine.life;
         for effect in node.step(now, input) {
@@ -151,7 +153,10 @@
                 let is_early = machine.is_calm && node.due() > self.now;
                 let before = self.order;
                 self.step(at, Input::Tick);
-                assert!(!is_early || self.order == before, "node {at} had something to do");
+                assert!(
+                    !is_early || self.order == before,
+                    "node {at} had something to do"
+                );
             }
         }
         None
@@ -162,7 +167,10 @@
             Due::Heard(_) if self.draw(100) < self.loss => {}
             Due::Heard(message) if self.cuts.contains(&(message.from, message.to)) => {}
             Due::Heard(message) => {
-                let to = self.machines.iter().position(|m| m.member.identity == message.to);
+                let to = self
+                    .machines
+                    .iter()
+                    .position(|m| m.member.identity == message.to);
                 if let Some(to) = to {
                     self.step(to, Input::Received(message));
                 }
@@ -188,7 +196,9 @@
             }
             Due::Synced(..) => {}
             Due::Ask(at) => {
-                let Some(node) = &self.machines[at].node else { return };
+                let Some(node) = &self.machines[at].node else {
+                    return;
+                };
                 let member = self.machines[at].member.clone();
                 // As the daemon does: a blank node asks, and one that nobody leads.
                 if node.cluster() == 0 || node.leader().is_none() {
@@ -201,7 +211,10 @@
             Due::Admit(seed, member) => {
                 // A seed that does not lead passes the question on to who does.
                 let leads = |m: &Machine| m.node.as_ref().is_some_and(|n| n.role() == Role::Leader);
-                let knows = self.machines[seed].node.as_ref().and_then(|node| node.leader());
+                let knows = self.machines[seed]
+                    .node
+                    .as_ref()
+                    .and_then(|node| node.leader());
                 let leader = self.machines.iter().position(leads);
                 let leader = leader.filter(|at| knows == Some(self.machines[*at].member.identity));
                 if let Some(leader) = leader {
@@ -217,12 +230,21 @@
     }
 
     pub fn voters(&self) -> usize {
-        let nodes = self.machines.iter().filter_map(|machine| machine.node.as_ref());
-        nodes.map(|node| node.members().voters.len()).min().unwrap_or(0)
+        let nodes = self
+            .machines
+            .iter()
+            .filter_map(|machine| machine.node.as_ref());
+        nodes
+            .map(|node| node.members().voters.len())
+            .min()
+            .unwrap_or(0)
     }
 
     pub fn clusters(&self) -> Vec<u64> {
-        let nodes = self.machines.iter().filter_map(|machine| machine.node.as_ref());
+        let nodes = self
+            .machines
+            .iter()
+            .filter_map(|machine| machine.node.as_ref());
         let mut clusters: Vec<u64> = nodes.map(|node| node.cluster()).collect();
         clusters.sort_unstable();
         clusters.dedup();
@@ -257,10 +279,16 @@
 
     /// Whether the leader counts just `voters` voters, all of them up.
     pub fn is_whole(&self, voters: usize) -> bool {
-        let Some(leader) = self.leader() else { return false };
-        let Some(node) = &self.machines[leader].node else { return false };
+        let Some(leader) = self.leader() else {
+            return false;
+        };
+        let Some(node) = &self.machines[leader].node else {
+            return false;
+        };
         let is_up = |identity: NodeId| {
-            self.machines.iter().any(|m| m.member.identity == identity && m.node.is_some())
+            self.machines
+                .iter()
+                .any(|m| m.member.identity == identity && m.node.is_some())
         };
         let members = node.members();
         node.is_settled()
@@ -271,7 +299,9 @@
     /// Takes a snapshot wherever enough has been applied since the last one.
     pub fn take_snapshots(&mut self, every: LogIndex, state: &[u8]) {
         for at in 0..self.machines.len() {
-            let Some(node) = &self.machines[at].node else { continue };
+            let Some(node) = &self.machines[at].node else {
+                continue;
+            };
             let applied = node.applied();
             if applied >= node.snapshot().index + every {
                 self.step(at, Input::SnapshotTaken(applied, state.to_vec()));
@@ -281,7 +311,9 @@
 
     /// Has the leader propose a command; false where nobody leads.
     pub fn propose(&mut self, command: Vec<u8>) -> bool {
-        let Some(leader) = self.leader() else { return false };
+        let Some(leader) = self.leader() else {
+            return false;
+        };
         self.step(leader, Input::Propose(0, command));
         true
     }
--- a/consensus/tests/cut_leader/cluster.rs
+++ b/consensus/tests/cut_leader/cluster.rs
@@ -38,9 +38,18 @@
 }
 
 pub const CUTS: [Cut; 3] = [
-    Cut { outward: true, inward: true },
-    Cut { outward: true, inward: false },
-    Cut { outward: false, inward: true },
+    Cut {
+        outward: true,
+        inward: true,
+    },
+    Cut {
+        outward: true,
+        inward: false,
+    },
+    Cut {
+        outward: false,
+        inward: true,
+    },
 ];
 
 /// A question or proposal that was put to a node.
@@ -83,10 +92,25 @@
 impl Cluster {
     pub fn new(count: u64, seed: u64, loss: Loss) -> Cluster {
         let voters = (1..=count).map(member).collect();
-        let members = Membership { voters, ..Membership::default() };
-        let entry = Entry { index: 1, term: 1, payload: EntryPayload::Membership(members) };
-        let hard_state = HardState { term: 1, vote: 0, cluster: CLUSTER };
-        let disk = PersistedState { hard_state, snapshot: None, entries: vec![entry] };
+        let members = Membership {
+            voters,
+            ..Membership::default()
+        };
+        let entry = Entry {
+            index: 1,
+            term: 1,
+            payload: EntryPayload::Membership(members),
+        };
+        let hard_state = HardState {
+            term: 1,
+            vote: 0,
+            cluster: CLUSTER,
+        };
+        let disk = PersistedState {
+            hard_state,
+            snapshot: None,
+            entries: vec![entry],
+        };
         let mut cluster = Cluster {
             now: 1_000,
             order: 0,
@@ -116,7 +140,15 @@
         let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let node = Node::new(identity, Timing::default(), seed, self.now, disk.clone());
         let inbox = VecDeque::new();
-        self.machines.insert(identity, Machine { node, disk, is_frozen: false, inbox });
+        self.machines.insert(
+            identity,
+            Machine {
+                node,
+                disk,
+                is_frozen: false,
+                inbox,
+            },
+        );
     }
 
     /// Ends a node and starts it again from its disk.
@@ -124,7 +156,8 @@
         let disk = self.machines[&identity].disk.clone();
         let is_its = |token: &Token| self.asked[token].node == identity;
         let lost: Vec<Token> = self.asked.keys().copied().filter(is_its).collect();
-        self.refused.extend(lost.into_iter().filter(|token| !self.done.contains(token)));
+        self.refused
+            .extend(lost.into_iter().filter(|token| !self.done.contains(token)));
         self.begin(identity, disk);
     }
 
@@ -141,7 +174,11 @@
         let leads = |identity: &u64| {
             self.node(*identity).role() == Role::Leader && !self.machines[identity].is_frozen
         };
-        let found = self.identities().into_iter().filter(|node| Some(*node) != cut).filter(leads);
+        let found = self
+            .identities()
+            .into_iter()
+            .filter(|node| Some(*node) != cut)
+            .filter(leads);
         found.max_by_key(|identity| self.node(*identity).term())
     }
 
@@ -173,7 +210,10 @@
         let node = self.node(identity);
         if node.role() == Role::Leader {
             let (term, known) = (node.term(), self.leaders.get(&node.term()).copied());
-            assert!(known.is_none_or(|known| known == identity), "term {term} has two leaders");
+            assert!(
+                known.is_none_or(|known| known == identity),
+                "term {term} has two leaders"
+            );
             self.leaders.insert(term, identity);
         }
     }
@@ -220,7 +260,9 @@
     }
 
     pub fn propose(&mut self, node: u64) -> Token {
-        self.ask(node, |token| Input::Propose(token, token.to_be_bytes().to_vec()))
+        self.ask(node, |token| {
+            Input::Propose(token, token.to_be_bytes().to_vec())
+        })
     }
 
     pub fn read(&mut self, node: u64) -> Token {
@@ -252,7 +294,11 @@
     }
 
     pub fn cut(&mut self, identity: u64, cut: Cut) {
-        for other in self.identities().into_iter().filter(|other| *other != identity) {
+        for other in self
+            .identities()
+            .into_iter()
+            .filter(|other| *other != identity)
+        {
             if cut.outward {
                 self.cuts.insert((identity, other));
             }
@@ -279,12 +325,18 @@
         assert!(self.done.contains(&token), "a healed cluster takes changes");
         for identity in self.identities() {
             let applied = self.node(identity).applied();
-            assert!(applied >= self.acknowledged, "node {identity} has {applied}");
+            assert!(
+                applied >= self.acknowledged,
+                "node {identity} has {applied}"
+            );
         }
     }
 
     pub fn none_done(&self, tokens: &[Token], what: &str) {
-        let done: Vec<&Token> = tokens.iter().filter(|token| self.done.contains(token)).collect();
+        let done: Vec<&Token> = tokens
+            .iter()
+            .filter(|token| self.done.contains(token))
+            .collect();
         assert!(done.is_empty(), "{what}: {done:?}");
     }
 }
--- a/consensus/tests/cut_leader/main.rs
+++ b/consensus/tests/cut_leader/main.rs
@@ -53,13 +53,25 @@
         }
         cluster.none_done(&at_old, what);
         let bound = Timing::default().election_timeout_ms + 4 * LATENCY + 50;
-        assert!(stepped_down.is_some_and(|after| after <= bound), "{what}: {stepped_down:?}");
-        assert!(acknowledged > 100, "{what}: the others acknowledged {acknowledged} times");
-        let leader = cluster.leader_but(Some(old)).expect("the others have a leader");
+        assert!(
+            stepped_down.is_some_and(|after| after <= bound),
+            "{what}: {stepped_down:?}"
+        );
+        assert!(
+            acknowledged > 100,
+            "{what}: the others acknowledged {acknowledged} times"
+        );
+        let leader = cluster
+            .leader_but(Some(old))
+            .expect("the others have a leader");
         let term = cluster.node(leader).term();
         cluster.heal();
         cluster.agree();
-        assert_eq!((cluster.leader(), cluster.node(old).term()), (leader, term), "{what}");
+        assert_eq!(
+            (cluster.leader(), cluster.node(old).term()),
+            (leader, term),
+            "{what}"
+        );
         cluster.none_done(&at_old, what);
         let is_open = |token: &&Token| !cluster.refused.contains(token);
         let open: Vec<&Token> = at_old.iter().filter(is_open).collect();
@@ -74,7 +86,11 @@
     each(|mut cluster, cut, what| {
         let leader = cluster.leader();
         let term = cluster.node(leader).term();
-        let follower = cluster.identities().into_iter().find(|node| *node != leader).expect("one");
+        let follower = cluster
+            .identities()
+            .into_iter()
+            .find(|node| *node != leader)
+            .expect("one");
         cluster.cut(follower, cut);
         let begun = cluster.now;
         let (mut at_follower, mut at_leader) = (Vec::new(), Vec::new());
@@ -86,7 +102,10 @@
         cluster.heal();
         cluster.agree();
         cluster.none_done(&at_follower, what);
-        assert!(at_leader.iter().all(|token| cluster.done.contains(token)), "{what}");
+        assert!(
+            at_leader.iter().all(|token| cluster.done.contains(token)),
+            "{what}"
+        );
         let now = (cluster.leader(), cluster.node(follower).term());
         assert_eq!(now, (leader, term), "{what}: leader and term stay");
     });
@@ -99,7 +118,11 @@
     each(|mut cluster, cut, what| {
         let leader = cluster.leader();
         let term = cluster.node(leader).term();
-        let follower = cluster.identities().into_iter().find(|node| *node != leader).expect("one");
+        let follower = cluster
+            .identities()
+            .into_iter()
+            .find(|node| *node != leader)
+            .expect("one");
         if cut.outward {
             cluster.cuts.insert((follower, leader));
         }
@@ -128,7 +151,9 @@
             cluster.restart(old);
             at_old.extend([cluster.read(old), cluster.propose(old)]);
             cluster.run(500);
-            let leader = cluster.leader_but(Some(old)).expect("the others have a leader");
+            let leader = cluster
+                .leader_but(Some(old))
+                .expect("the others have a leader");
             let token = cluster.propose(leader);
             cluster.run(500);
             assert!(cluster.done.contains(&token), "{what}");
@@ -156,15 +181,23 @@
             cluster.run(TICK);
             cluster.machines.get_mut(&old).expect("known").is_frozen = true;
             cluster.run(9_000);
-            let leader = cluster.leader_but(Some(old)).expect("the others have a leader");
+            let leader = cluster
+                .leader_but(Some(old))
+                .expect("the others have a leader");
             let token = cluster.propose(leader);
             cluster.run(1_000);
-            assert!(cluster.done.contains(&token), "seed {seed}: the others go on");
+            assert!(
+                cluster.done.contains(&token),
+                "seed {seed}: the others go on"
+            );
 
             let machine = cluster.machines.get_mut(&old).expect("known");
             machine.is_frozen = false;
             let inbox = std::mem::take(&mut machine.inbox);
-            assert!(!inbox.is_empty(), "seed {seed}: answers wait in its sockets");
+            assert!(
+                !inbox.is_empty(),
+                "seed {seed}: answers wait in its sockets"
+            );
             let mut at_old = vec![cluster.read(old), cluster.propose(old)];
             for message in inbox {
                 cluster.step(old, Input::Received(message));
@@ -217,7 +250,13 @@
         let old = cluster.leader();
         // Many rounds, so that the counter of a new life is far below.
         cluster.run(CUT);
-        cluster.cut(old, Cut { outward: false, inward: true });
+        cluster.cut(
+            old,
+            Cut {
+                outward: false,
+                inward: true,
+            },
+        );
         cluster.propose(old);
         cluster.run(2_000);
         let late: Vec<Message> = std::mem::take(&mut cluster.held);
@@ -239,7 +278,11 @@
         cluster.cut(old, CUTS[0]);
         let mut at_old = vec![cluster.read(old), cluster.propose(old)];
         cluster.run(2 * TICK);
-        assert_eq!(cluster.node(old).role(), Role::Leader, "it believes so for a while");
+        assert_eq!(
+            cluster.node(old).role(),
+            Role::Leader,
+            "it believes so for a while"
+        );
         for message in late {
             cluster.step(old, Input::Received(message));
             at_old.push(cluster.read(old));
--- a/consensus/tests/founding.rs
+++ b/consensus/tests/founding.rs
@@ -17,8 +17,9 @@
             let late = (seed * 37 + at as u64 * 61) % 300;
             world.due(late, Due::Up(at));
         }
-        let three =
-            world.run(4_000, |w| w.machines.iter().all(|m| m.node.is_some()) && w.voters() >= 3);
+        let three = world.run(4_000, |w| {
+            w.machines.iter().all(|m| m.node.is_some()) && w.voters() >= 3
+        });
         let three = three.expect("three voters, known to all");
         assert!(three < 2_500, "seed {seed}: three voters after {three} ms");
         let five = world.run(6_000, |w| w.voters() == 5).expect("five voters");
@@ -59,7 +60,11 @@
             world.due(late, Due::Up(at));
         }
         for _ in 0..world.draw(4) {
-            let at = if world.draw(2) == 0 { 0 } else { world.draw(5) as usize };
+            let at = if world.draw(2) == 0 {
+                0
+            } else {
+                world.draw(5) as usize
+            };
             let crash = 1_600 + world.draw(2_000);
             let back = crash + 50 + world.draw(800);
             world.due(crash, Due::Down(at));
@@ -83,14 +88,22 @@
     }
     world.run(6_000, |w| w.voters() == 4).expect("four voters");
     world.due(1, Due::Up(4));
-    world.run(9_000, |w| w.machines[4].node.is_some() && w.voters() == 5).expect("five voters");
+    world
+        .run(9_000, |w| w.machines[4].node.is_some() && w.voters() == 5)
+        .expect("five voters");
     world.due(1, Due::Down(0));
     world.run(9_500, |_| false);
     world.machines[0].kept = PersistedState::default();
     world.machines[0].member = member(0, 99);
     // It does not found: that was at the first start.
     world.machines[0].life += 1;
-    let node = Node::new(99, Timing::default(), 3, world.now, PersistedState::default());
+    let node = Node::new(
+        99,
+        Timing::default(),
+        3,
+        world.now,
+        PersistedState::default(),
+    );
     world.machines[0].node = Some(node);
     world.due(2 * DELAY, Due::Ask(0));
     let is_back = |w: &World| {
@@ -101,5 +114,10 @@
     let back = world.run(20_000, is_back).expect("it is a voter again");
     assert!(back < 9_500 + 4_000, "after {back} ms");
     let commands = world.machines[1].kept.entries.iter();
-    assert!(commands.filter(|e| matches!(e.payload, EntryPayload::Command(_))).count() == 0);
+    assert!(
+        commands
+            .filter(|e| matches!(e.payload, EntryPayload::Command(_)))
+            .count()
+            == 0
+    );
 }
--- a/consensus/tests/model/actions.rs
+++ b/consensus/tests/model/actions.rs
@@ -54,11 +54,29 @@
         match self {
             Action::TimePasses => write!(f, "time passes"),
             Action::Tick(at) => write!(f, "tick {at}"),
-            Action::Deliver { message, is_kept, is_answer_delayed } => {
-                let Message { from, to, term, body, .. } = message.as_ref();
+            Action::Deliver {
+                message,
+                is_kept,
+                is_answer_delayed,
+            } => {
+                let Message {
+                    from,
+                    to,
+                    term,
+                    body,
+                    ..
+                } = message.as_ref();
                 write!(f, "deliver {from} -> {to}, term {term}: {body:?}")?;
                 write!(f, "{}", if *is_kept { " (and again)" } else { "" })?;
-                write!(f, "{}", if *is_answer_delayed { " (answer delayed)" } else { "" })
+                write!(
+                    f,
+                    "{}",
+                    if *is_answer_delayed {
+                        " (answer delayed)"
+                    } else {
+                        ""
+                    }
+                )
             }
             Action::Sync(at) => write!(f, "sync {at}"),
             Action::Propose(at) => write!(f, "propose at {at}"),
@@ -66,7 +84,10 @@
             Action::AddLearner { leader, learner } => write!(f, "add {learner} at {leader}"),
             Action::RemoveMember { leader, removed } => write!(f, "remove {removed} at {leader}"),
             Action::TransferLeadership(at) => write!(f, "transfer leadership from {at}"),
-            Action::CrashAndRestart { server, writes_kept } => {
+            Action::CrashAndRestart {
+                server,
+                writes_kept,
+            } => {
                 write!(f, "crash {server}, {writes_kept} unsynced writes kept")
             }
             Action::LoseDisk(at) => write!(f, "lose disk of {at}"),
@@ -123,7 +144,9 @@
 }
 
 fn deliveries(state: &Cluster, message: &Arc<Message>, actions: &mut Vec<Action>) {
-    let Some(receiver) = state.server(message.to) else { return };
+    let Some(receiver) = state.server(message.to) else {
+        return;
+    };
     let is_call = state.grain == Grain::Calls;
     let is_vote = matches!(message.body, Body::VoteResponse { .. });
     if is_call && message.term < receiver.node.term() && !is_vote {
@@ -152,10 +175,16 @@
         actions.push(Action::Sync(at));
     }
     if left.crashes > 0 {
-        actions.push(Action::CrashAndRestart { server: at, writes_kept: 0 });
+        actions.push(Action::CrashAndRestart {
+            server: at,
+            writes_kept: 0,
+        });
         let unsynced = server.unsynced.len();
         if unsynced > 0 {
-            actions.push(Action::CrashAndRestart { server: at, writes_kept: unsynced });
+            actions.push(Action::CrashAndRestart {
+                server: at,
+                writes_kept: unsynced,
+            });
         }
     }
     if left.disks_lost > 0 && server.disk.hard_state.cluster != 0 {
@@ -194,17 +223,24 @@
     for other in state.servers.iter().map(|other| other.identity()) {
         let is_member = server.node.members().get(other).is_some();
         if left.additions > 0 && !is_member {
-            actions.push(Action::AddLearner { leader: at, learner: other });
+            actions.push(Action::AddLearner {
+                leader: at,
+                learner: other,
+            });
         }
         if left.removals > 0 && is_member && other != at {
-            actions.push(Action::RemoveMember { leader: at, removed: other });
+            actions.push(Action::RemoveMember {
+                leader: at,
+                removed: other,
+            });
         }
     }
 }
 
 impl Cluster {
     fn at(&self, identity: NodeId) -> usize {
-        self.position(identity).expect("actions name servers that there are")
+        self.position(identity)
+            .expect("actions name servers that there are")
     }
 
     fn token(&mut self) -> u64 {
@@ -221,7 +257,11 @@
                 Ok(())
             }
             Action::Tick(at) => self.tick(self.at(*at)),
-            Action::Deliver { message, is_kept, is_answer_delayed } => {
+            Action::Deliver {
+                message,
+                is_kept,
+                is_answer_delayed,
+            } => {
                 if *is_kept {
                     self.left.duplicates -= 1;
                 } else {
@@ -258,7 +298,10 @@
                 self.left.transfers -= 1;
                 self.step(self.at(*at), Input::TransferLeadership)
             }
-            Action::CrashAndRestart { server, writes_kept } => {
+            Action::CrashAndRestart {
+                server,
+                writes_kept,
+            } => {
                 self.left.crashes -= 1;
                 self.crash(self.at(*server), *writes_kept)
             }
@@ -299,12 +342,17 @@
     }
 
     fn take(&mut self, is_wanted: impl Fn(&Message) -> bool) -> Option<Arc<Message>> {
-        let at = self.network.iter().position(|(_, message)| is_wanted(message))?;
+        let at = self
+            .network
+            .iter()
+            .position(|(_, message)| is_wanted(message))?;
         Some(self.network.remove(at).1)
     }
 
     fn deliver(&mut self, message: &Message, is_answer_delayed: bool) -> Result<(), Violation> {
-        let Some(receiver) = self.position(message.to) else { return Ok(()) };
+        let Some(receiver) = self.position(message.to) else {
+            return Ok(());
+        };
         let is_call = self.grain == Grain::Calls && is_request(&message.body);
         self.step(receiver, Input::Received(message.clone()))?;
         if is_call && !is_answer_delayed {
@@ -336,9 +384,14 @@
         let old = &self.servers[at];
         let (identity, name) = (old.identity(), old.member.name.clone());
         let lost = old.disk.as_ref().clone();
-        Arc::make_mut(&mut self.history).lost_disks.insert(identity, lost);
+        Arc::make_mut(&mut self.history)
+            .lost_disks
+            .insert(identity, lost);
         let fresh = self.servers.iter().map(|s| s.identity()).max().unwrap_or(0) + 1;
-        let member = consensus::Member { name, ..member(fresh, fresh) };
+        let member = consensus::Member {
+            name,
+            ..member(fresh, fresh)
+        };
         let blank = consensus::node::PersistedState::default();
         self.replace(at, Server::start(member, self.timing, self.now, blank));
     }
--- a/consensus/tests/model/checker.rs
+++ b/consensus/tests/model/checker.rs
@@ -69,7 +69,11 @@
         )?;
         if let Some(found) = &self.counterexample {
             let Violation { property, detail } = &found.violation;
-            write!(f, "\nFOUND after {} actions: {property}: {detail}", found.trace.len())?;
+            write!(
+                f,
+                "\nFOUND after {} actions: {property}: {detail}",
+                found.trace.len()
+            )?;
             for (at, action) in found.trace.iter().enumerate() {
                 write!(f, "\n  {:2}. {action}", at + 1)?;
             }
@@ -97,7 +101,10 @@
 
     /// Whether the state is new.
     fn insert(&self, fingerprint: u64, origin: Origin) -> bool {
-        let mut shard = self.shard(fingerprint).lock().expect("no thread panics with it");
+        let mut shard = self
+            .shard(fingerprint)
+            .lock()
+            .expect("no thread panics with it");
         match shard.entry(fingerprint) {
             std::collections::hash_map::Entry::Occupied(_) => false,
             std::collections::hash_map::Entry::Vacant(vacant) => {
@@ -108,12 +115,18 @@
     }
 
     fn origin(&self, fingerprint: u64) -> Option<Origin> {
-        let shard = self.shard(fingerprint).lock().expect("no thread panics with it");
+        let shard = self
+            .shard(fingerprint)
+            .lock()
+            .expect("no thread panics with it");
         shard.get(&fingerprint).copied()
     }
 
     fn len(&self) -> usize {
-        self.0.iter().map(|shard| shard.lock().expect("no thread panics with it").len()).sum()
+        self.0
+            .iter()
+            .map(|shard| shard.lock().expect("no thread panics with it").len())
+            .sum()
     }
 }
 
@@ -130,7 +143,11 @@
     cursor: &AtomicUsize,
     visited: &Visited,
 ) -> Expansion<M::State> {
-    let mut found = Expansion { next: Vec::new(), transitions: 0, broken: None };
+    let mut found = Expansion {
+        next: Vec::new(),
+        transitions: 0,
+        broken: None,
+    };
     while let Some((parent, state)) = level.get(cursor.fetch_add(1, Ordering::Relaxed)) {
         for (number, action) in model.actions(state).iter().enumerate() {
             found.transitions += 1;
@@ -167,7 +184,10 @@
             let workers: Vec<_> = (0..limits.threads)
                 .map(|_| scope.spawn(|| expand(model, &level, &cursor, &visited)))
                 .collect();
-            workers.into_iter().map(|worker| worker.join().expect("a worker ends")).collect()
+            workers
+                .into_iter()
+                .map(|worker| worker.join().expect("a worker ends"))
+                .collect()
         });
         level = Vec::new();
         for expansion in expansions {
@@ -182,7 +202,10 @@
     }
     let counterexample = broken.map(|(parent, number, violation)| {
         let numbers = path(&visited, root_fingerprint, parent, number);
-        Counterexample { violation, trace: replay(model, &numbers) }
+        Counterexample {
+            violation,
+            trace: replay(model, &numbers),
+        }
     });
     Report {
         states: visited.len(),
@@ -252,5 +275,12 @@
         }
     }
     let elapsed = begin.elapsed();
-    Report { states: 0, transitions, depth: length, is_exhausted: false, elapsed, counterexample }
+    Report {
+        states: 0,
+        transitions,
+        depth: length,
+        is_exhausted: false,
+        elapsed,
+        counterexample,
+    }
 }
--- a/consensus/tests/model/cluster.rs
+++ b/consensus/tests/model/cluster.rs
@@ -103,22 +103,44 @@
         let now = EPOCH_MS;
         let start = |(at, (hard_state, entries))| {
             let identity = at as u64 + 1;
-            let disk = PersistedState { hard_state, snapshot: None, entries };
+            let disk = PersistedState {
+                hard_state,
+                snapshot: None,
+                entries,
+            };
             Arc::new(Server::start(member(identity, identity), timing, now, disk))
         };
         let servers: Vec<Arc<Server>> = logs.into_iter().enumerate().map(start).collect();
         let digests = servers.iter().map(|server| server.digest()).collect();
         let (network, history, left) = (Vec::new(), Arc::default(), Budget::default());
-        Cluster { grain, timing, now, servers, digests, network, history, left }
+        Cluster {
+            grain,
+            timing,
+            now,
+            servers,
+            digests,
+            network,
+            history,
+            left,
+        }
     }
 
     pub fn fingerprint(&self) -> u64 {
         let messages: Vec<u64> = self.network.iter().map(|(digest, _)| *digest).collect();
-        digest(&(self.now, &self.digests, messages, self.history.as_ref(), self.left))
+        digest(&(
+            self.now,
+            &self.digests,
+            messages,
+            self.history.as_ref(),
+            self.left,
+        ))
     }
 
     pub fn server(&self, identity: NodeId) -> Option<&Server> {
-        self.servers.iter().find(|s| s.identity() == identity).map(Arc::as_ref)
+        self.servers
+            .iter()
+            .find(|s| s.identity() == identity)
+            .map(Arc::as_ref)
     }
 
     pub fn position(&self, identity: NodeId) -> Option<usize> {
@@ -153,7 +175,10 @@
 
     /// The oldest write reaches the disk.
     fn sync(&mut self, server: &mut Server) -> Result<Vec<Effect>, Violation> {
-        let (ticket, writes) = server.unsynced.pop_front().expect("asked for where there is one");
+        let (ticket, writes) = server
+            .unsynced
+            .pop_front()
+            .expect("asked for where there is one");
         self.write(server, &writes)?;
         Ok(server.node.step(self.now, Input::Synced(ticket)))
     }
@@ -254,7 +279,10 @@
             });
         }
         let key = digest(&message);
-        if let Err(at) = self.network.binary_search_by_key(&key, |(digest, _)| *digest) {
+        if let Err(at) = self
+            .network
+            .binary_search_by_key(&key, |(digest, _)| *digest)
+        {
             self.network.insert(at, (key, Arc::new(message)));
         }
         Ok(())
@@ -268,7 +296,10 @@
                 return holds(&leader.disk, entry);
             }
             let lost = self.history.lost_disks.get(&voter.identity);
-            let disk = self.server(voter.identity).map(|other| other.disk.as_ref()).or(lost);
+            let disk = self
+                .server(voter.identity)
+                .map(|other| other.disk.as_ref())
+                .or(lost);
             disk.is_some_and(|disk| holds(disk, entry))
         });
         let synced = synced.count();
@@ -297,14 +328,20 @@
                 format!("{identity} in term {term}"),
             );
         }
-        let missing = self.history.committed_before(term).find(|e| !holds(&server.memory, e));
+        let missing = self
+            .history
+            .committed_before(term)
+            .find(|e| !holds(&server.memory, e));
         if let Some(entry) = missing {
             return broken("leader completeness", format!("{identity} lacks {entry:?}"));
         }
-        let is_retired = self.history.committed_before(term).any(|entry| match &entry.payload {
-            EntryPayload::Membership(members) => members.retired.contains(&identity),
-            EntryPayload::Blank | EntryPayload::Command(_) => false,
-        });
+        let is_retired = self
+            .history
+            .committed_before(term)
+            .any(|entry| match &entry.payload {
+                EntryPayload::Membership(members) => members.retired.contains(&identity),
+                EntryPayload::Blank | EntryPayload::Command(_) => false,
+            });
         if is_retired {
             return broken("a retired identity stays out", format!("{identity} leads"));
         }
--- a/consensus/tests/model/history.rs
+++ b/consensus/tests/model/history.rs
@@ -42,7 +42,10 @@
                 self.committed_in.push(term);
                 Ok(())
             }
-            None => broken("applied in order", format!("{by} applies {entry:?} after a gap")),
+            None => broken(
+                "applied in order",
+                format!("{by} applies {entry:?} after a gap"),
+            ),
         }
     }
 
@@ -50,13 +53,17 @@
     /// learn late that it won, and knows nothing of later terms.
     pub fn committed_before(&self, term: Term) -> impl Iterator<Item = &Entry> {
         let both = self.committed.iter().zip(&self.committed_in);
-        both.filter(move |(_, committed_in)| **committed_in < term).map(|(entry, _)| entry)
+        both.filter(move |(_, committed_in)| **committed_in < term)
+            .map(|(entry, _)| entry)
     }
 
     /// A snapshot says what the entries up to it say.
     pub fn restored(&self, by: NodeId, snapshot: &Snapshot) -> Result<(), Violation> {
         let Some(last) = self.committed.get(snapshot.index as usize - 1) else {
-            return broken("snapshot of what is committed", format!("{by}: {snapshot:?}"));
+            return broken(
+                "snapshot of what is committed",
+                format!("{by}: {snapshot:?}"),
+            );
         };
         let covered = &self.committed[..snapshot.index as usize];
         let mut state: Vec<u8> = Vec::new();
@@ -66,7 +73,10 @@
             }
         }
         if last.term != snapshot.term || state != snapshot.state {
-            return broken("snapshot of what is committed", format!("{by}: {snapshot:?}"));
+            return broken(
+                "snapshot of what is committed",
+                format!("{by}: {snapshot:?}"),
+            );
         }
         Ok(())
     }
@@ -75,7 +85,10 @@
     pub fn leads(&mut self, identity: NodeId, term: Term) -> Result<(), Violation> {
         let leader = *self.leaders.entry(term).or_insert(identity);
         if leader != identity {
-            return broken("one leader a term", format!("term {term}: {leader} and {identity}"));
+            return broken(
+                "one leader a term",
+                format!("term {term}: {leader} and {identity}"),
+            );
         }
         Ok(())
     }
@@ -94,7 +107,9 @@
 
     /// A read shows what was committed before it was asked for.
     pub fn answered(&mut self, token: Token, index: LogIndex) -> Result<(), Violation> {
-        let Some(floor) = self.reads.remove(&token) else { return Ok(()) };
+        let Some(floor) = self.reads.remove(&token) else {
+            return Ok(());
+        };
         if index < floor {
             return broken(
                 "a read is never stale",
--- a/consensus/tests/model/main.rs
+++ b/consensus/tests/model/main.rs
@@ -24,13 +24,21 @@
 
 fn assert_holds(scenario: &Scenario, report: &Report) {
     println!("{}: {report}", scenario.name);
-    assert!(report.counterexample.is_none(), "{}: {report}", scenario.name);
+    assert!(
+        report.counterexample.is_none(),
+        "{}: {report}",
+        scenario.name
+    );
 }
 
 /// For CI: every run of so many actions, then random walks that go deeper.
 fn bounded(name: &str, depth: usize) {
     let scenario = scenarios::named(name, Size::Small);
-    let limits = Limits { depth, states: usize::MAX, threads: CI_THREADS };
+    let limits = Limits {
+        depth,
+        states: usize::MAX,
+        threads: CI_THREADS,
+    };
     let report = check(&scenario, limits);
     assert_holds(&scenario, &report);
     assert!(report.depth == depth, "the scenario ends early: {report}");
@@ -41,13 +49,20 @@
 /// Level by level, until the states no longer fit: with few events of each kind,
 /// which goes deeper, and with more.
 fn deep(name: &str) {
-    let limits = Limits { depth: usize::MAX, states: deep_states(), threads: DEEP_THREADS };
+    let limits = Limits {
+        depth: usize::MAX,
+        states: deep_states(),
+        threads: DEEP_THREADS,
+    };
     for size in [Size::Small, Size::Large] {
         let scenario = scenarios::named(name, size);
         assert_holds(&scenario, &check(&scenario, limits));
     }
     let scenario = scenarios::named(name, Size::Large);
-    assert_holds(&scenario, &walk(&scenario, 1..deep_walks(), 2 * WALK_LENGTH));
+    assert_holds(
+        &scenario,
+        &walk(&scenario, 1..deep_walks(), 2 * WALK_LENGTH),
+    );
 }
 
 /// States after which no further level is begun; `MODEL_STATES` sets it.
@@ -60,7 +75,10 @@
 }
 
 fn setting<T: std::str::FromStr>(name: &str, otherwise: T) -> T {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+    std::env::var(name)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(otherwise)
 }
 
 #[test]
--- a/consensus/tests/model/properties.rs
+++ b/consensus/tests/model/properties.rs
@@ -20,7 +20,11 @@
 /// entry and on all before it.
 fn check_log_matching(cluster: &Cluster, changed: usize) -> Result<(), Violation> {
     let mine = &cluster.servers[changed];
-    for other in cluster.servers.iter().filter(|s| s.identity() != mine.identity()) {
+    for other in cluster
+        .servers
+        .iter()
+        .filter(|s| s.identity() != mine.identity())
+    {
         let mut have_agreed = false;
         for entry in mine.memory.entries.iter().rev() {
             let same = other.memory.entries.iter().find(|e| e.index == entry.index);
@@ -47,7 +51,11 @@
 
 /// Any majority of the one shares a voter with any majority of the other.
 fn majorities_meet(one: &Membership, other: &Membership) -> bool {
-    let shared = one.voters.iter().filter(|voter| other.is_voter(voter.identity)).count();
+    let shared = one
+        .voters
+        .iter()
+        .filter(|voter| other.is_voter(voter.identity))
+        .count();
     // A majority of the one that leaves as many of the other's voters as it can.
     let of_one_alone = one.voters.len() - shared;
     let taken_from_other = one.majority().saturating_sub(of_one_alone);
@@ -58,8 +66,10 @@
     let log = &server.memory;
     let found = memberships(log);
     let base = log.snapshot.as_ref().map(|snapshot| &snapshot.members);
-    let chain: Vec<&Membership> =
-        base.into_iter().chain(found.iter().map(|(_, members)| *members)).collect();
+    let chain: Vec<&Membership> = base
+        .into_iter()
+        .chain(found.iter().map(|(_, members)| *members))
+        .collect();
     for members in &chain {
         check_listed_once(members)?;
     }
@@ -71,8 +81,14 @@
                 format!("{:?} and {:?}", names(pair[0]), names(pair[1])),
             );
         }
-        let back = pair[0].retired.iter().find(|id| pair[1].get(**id).is_some());
-        let lost = pair[0].retired.iter().find(|id| !pair[1].retired.contains(id));
+        let back = pair[0]
+            .retired
+            .iter()
+            .find(|id| pair[1].get(**id).is_some());
+        let lost = pair[0]
+            .retired
+            .iter()
+            .find(|id| !pair[1].retired.contains(id));
         if back.is_some() || lost.is_some() {
             return broken("a retired identity stays out", format!("{back:?} {lost:?}"));
         }
@@ -103,9 +119,14 @@
     if server.node.role() != Role::Leader {
         return Ok(());
     }
-    let promoted = after.voters.iter().filter(|voter| !before.is_voter(voter.identity));
+    let promoted = after
+        .voters
+        .iter()
+        .filter(|voter| !before.is_voter(voter.identity));
     for voter in promoted {
-        let Some(other) = cluster.server(voter.identity) else { continue };
+        let Some(other) = cluster.server(voter.identity) else {
+            continue;
+        };
         let knows_itself = members_of(&other.disk).get(voter.identity).is_some();
         if !knows_itself {
             return broken(
@@ -127,12 +148,22 @@
     let found = memberships(&server.memory);
     // A node that comes back has yet to learn what is committed.
     let committed = cluster.history.committed.len() as u64;
-    let open = found.iter().filter(|(entry, _)| entry.index > committed).count();
+    let open = found
+        .iter()
+        .filter(|(entry, _)| entry.index > committed)
+        .count();
     if open > 1 {
-        return broken("one unsettled membership", format!("{open} at {}", server.identity()));
+        return broken(
+            "one unsettled membership",
+            format!("{open} at {}", server.identity()),
+        );
     }
     let early = found.iter().find(|(entry, _)| {
-        let before = cluster.history.committed.iter().take_while(|e| e.index < entry.index);
+        let before = cluster
+            .history
+            .committed
+            .iter()
+            .take_while(|e| e.index < entry.index);
         entry.term == term && before.filter(|e| e.term == term).count() == 0
     });
     if let Some((entry, _)) = early {
@@ -161,7 +192,11 @@
         if grants.count() < members.majority() {
             continue;
         }
-        let missing = cluster.history.committed.iter().find(|entry| !holds(log, entry));
+        let missing = cluster
+            .history
+            .committed
+            .iter()
+            .find(|entry| !holds(log, entry));
         if let Some(entry) = missing {
             return broken(
                 "committed entries are never lost",
--- a/consensus/tests/model/scenarios.rs
+++ b/consensus/tests/model/scenarios.rs
@@ -28,17 +28,31 @@
 
 fn members(voters: std::ops::RangeInclusive<NodeId>) -> Membership {
     let voters = voters.map(|id| member(id, id)).collect();
-    Membership { voters, ..Membership::default() }
+    Membership {
+        voters,
+        ..Membership::default()
+    }
 }
 
 type Log = (HardState, Vec<Entry>);
 
 fn founded(voters: u64) -> Entry {
-    Entry { index: 1, term: 1, payload: EntryPayload::Membership(members(1..=voters)) }
+    Entry {
+        index: 1,
+        term: 1,
+        payload: EntryPayload::Membership(members(1..=voters)),
+    }
 }
 
 fn log(term: Term, entries: Vec<Entry>) -> Log {
-    (HardState { term, vote: 0, cluster: CLUSTER }, entries)
+    (
+        HardState {
+            term,
+            vote: 0,
+            cluster: CLUSTER,
+        },
+        entries,
+    )
 }
 
 /// Voters that know of each other and no leader; then blank nodes.
@@ -52,7 +66,10 @@
 /// committed.
 fn elected(grain: Grain, voters: u64, blank: u64, wanted: usize) -> Cluster {
     let mut cluster = fresh(grain, voters, blank, wanted);
-    cluster.left = Budget { campaigns: 1, ..Budget::default() };
+    cluster.left = Budget {
+        campaigns: 1,
+        ..Budget::default()
+    };
     cluster.perform(&Action::Tick(1)).expect("an election");
     quiesce(&mut cluster);
     assert_eq!(cluster.servers[0].node.role(), Role::Leader);
@@ -63,7 +80,10 @@
 /// Node 1 leads, and everybody knows that its first entry is committed.
 fn led(grain: Grain, voters: u64, blank: u64, wanted: usize) -> Cluster {
     let mut cluster = elected(grain, voters, blank, wanted);
-    cluster.left = Budget { heartbeats: 1, ..Budget::default() };
+    cluster.left = Budget {
+        heartbeats: 1,
+        ..Budget::default()
+    };
     cluster.perform(&Action::Tick(1)).expect("a heartbeat");
     quiesce(&mut cluster);
     cluster.left = Budget::default();
@@ -73,15 +93,24 @@
 /// Syncs and delivers until nothing is on its way.
 fn quiesce(cluster: &mut Cluster) {
     loop {
-        let unsynced = cluster.servers.iter().find(|server| !server.unsynced.is_empty());
+        let unsynced = cluster
+            .servers
+            .iter()
+            .find(|server| !server.unsynced.is_empty());
         if let Some(at) = unsynced.map(|server| server.identity()) {
             cluster.perform(&Action::Sync(at)).expect("a sync");
             continue;
         }
-        let Some((_, message)) = cluster.network.first() else { return };
+        let Some((_, message)) = cluster.network.first() else {
+            return;
+        };
         let message = message.clone();
         debug_assert!(cluster.grain == Grain::Messages || is_request(&message.body));
-        let deliver = Action::Deliver { message, is_kept: false, is_answer_delayed: false };
+        let deliver = Action::Deliver {
+            message,
+            is_kept: false,
+            is_answer_delayed: false,
+        };
         cluster.perform(&deliver).expect("a delivery");
     }
 }
@@ -90,7 +119,11 @@
 /// on 1 and 2, node 5 holds two of term 3. Node 1 has just been
 /// elected by 2 and 3 and has sent them nothing yet.
 fn older_terms() -> Cluster {
-    let entry = |index, term, payload| Entry { index, term, payload };
+    let entry = |index, term, payload| Entry {
+        index,
+        term,
+        payload,
+    };
     let command = |index, term, byte| entry(index, term, EntryPayload::Command(vec![byte]));
     let first = || founded(5);
     let logs = vec![
@@ -101,13 +134,20 @@
         log(3, vec![first(), command(2, 3, 2), command(3, 3, 3)]),
     ];
     let mut cluster = Cluster::new(Grain::Calls, timing(5), logs);
-    cluster.left = Budget { campaigns: 1, ..Budget::default() };
+    cluster.left = Budget {
+        campaigns: 1,
+        ..Budget::default()
+    };
     cluster.perform(&Action::Tick(1)).expect("pre-votes");
     for voter in [2, 3] {
         let is_vote = |m: &Message| m.to == voter && matches!(m.body, Body::Vote { .. });
         let vote = cluster.network.iter().find(|(_, message)| is_vote(message));
         let message = vote.expect("a vote is asked for").1.clone();
-        let deliver = Action::Deliver { message, is_kept: false, is_answer_delayed: false };
+        let deliver = Action::Deliver {
+            message,
+            is_kept: false,
+            is_answer_delayed: false,
+        };
         cluster.perform(&deliver).expect("a vote");
     }
     assert_eq!(cluster.servers[0].node.role(), Role::Leader);
@@ -118,14 +158,26 @@
 /// ready for when one of them falls silent.
 fn with_ready_learner() -> Cluster {
     let mut cluster = led(Grain::Calls, 3, 1, 3);
-    cluster.left = Budget { additions: 1, heartbeats: 4, ..Budget::default() };
-    cluster.perform(&Action::AddLearner { leader: 1, learner: 4 }).expect("a learner");
+    cluster.left = Budget {
+        additions: 1,
+        heartbeats: 4,
+        ..Budget::default()
+    };
+    cluster
+        .perform(&Action::AddLearner {
+            leader: 1,
+            learner: 4,
+        })
+        .expect("a learner");
     while cluster.left.heartbeats > 0 {
         cluster.perform(&Action::Tick(1)).expect("a heartbeat");
         quiesce(&mut cluster);
     }
     let newcomer = &cluster.servers[3].node;
-    assert!(newcomer.members().get(4).is_some(), "the learner has caught up");
+    assert!(
+        newcomer.members().get(4).is_some(),
+        "the learner has caught up"
+    );
     cluster.left = Budget::default();
     cluster
 }
@@ -137,7 +189,10 @@
 }
 
 pub fn named(name: &str, size: Size) -> Scenario {
-    let at = NAMES.iter().position(|known| *known == name).expect("a scenario of the list");
+    let at = NAMES
+        .iter()
+        .position(|known| *known == name)
+        .expect("a scenario of the list");
     let mut start = match at {
         0 => fresh(Grain::Messages, 3, 0, 3),
         1 => led(Grain::Messages, 3, 0, 3),
@@ -151,14 +206,22 @@
         _ => with_ready_learner(),
     };
     start.left = budget(at, size);
-    Scenario { name: NAMES[at], start }
+    Scenario {
+        name: NAMES[at],
+        start,
+    }
 }
 
 fn budget(scenario: usize, size: Size) -> Budget {
     let extra = u8::from(size == Size::Large);
     let none = Budget::default();
     match scenario {
-        0 => Budget { campaigns: 2 + extra, crashes: 1 + extra, duplicates: extra, ..none },
+        0 => Budget {
+            campaigns: 2 + extra,
+            crashes: 1 + extra,
+            duplicates: extra,
+            ..none
+        },
         1 => Budget {
             epochs: 1,
             campaigns: 1 + extra,
--- a/consensus/tests/model/server.rs
+++ b/consensus/tests/model/server.rs
@@ -22,10 +22,20 @@
 
 impl Server {
     pub fn start(member: Member, timing: Timing, now: u64, disk: PersistedState) -> Server {
-        let machine = disk.snapshot.as_ref().map_or(Vec::new(), |s| s.state.clone());
+        let machine = disk
+            .snapshot
+            .as_ref()
+            .map_or(Vec::new(), |s| s.state.clone());
         let node = Node::new(member.identity, timing, 1, now, disk.clone());
         let (disk, unsynced) = (Arc::new(disk), VecDeque::new());
-        Server { member, node, memory: disk.clone(), disk, unsynced, machine }
+        Server {
+            member,
+            node,
+            memory: disk.clone(),
+            disk,
+            unsynced,
+            machine,
+        }
     }
 
     pub fn identity(&self) -> NodeId {
@@ -59,7 +69,9 @@
 /// Term and index of the last entry: what votes are compared by.
 pub fn last_of(log: &PersistedState) -> (Term, LogIndex) {
     let snapshot = log.snapshot.as_ref().map_or((0, 0), |s| (s.term, s.index));
-    log.entries.last().map_or(snapshot, |entry| (entry.term, entry.index))
+    log.entries
+        .last()
+        .map_or(snapshot, |entry| (entry.term, entry.index))
 }
 
 /// The newest membership of a log.
@@ -69,12 +81,23 @@
         _ => None,
     };
     let newest = log.entries.iter().rev().find_map(in_entry);
-    let base = || log.snapshot.as_ref().map(|snapshot| snapshot.members.clone());
+    let base = || {
+        log.snapshot
+            .as_ref()
+            .map(|snapshot| snapshot.members.clone())
+    };
     newest.or_else(base).unwrap_or_default()
 }
 
 /// Whether the log holds this entry, by itself or in its snapshot.
 pub fn holds(log: &PersistedState, entry: &Entry) -> bool {
-    let in_snapshot = log.snapshot.as_ref().is_some_and(|s| s.index >= entry.index);
-    in_snapshot || log.entries.iter().any(|e| (e.index, e.term) == (entry.index, entry.term))
+    let in_snapshot = log
+        .snapshot
+        .as_ref()
+        .is_some_and(|s| s.index >= entry.index);
+    in_snapshot
+        || log
+            .entries
+            .iter()
+            .any(|e| (e.index, e.term) == (entry.index, entry.term))
 }
--- a/consensus/tests/repair.rs
+++ b/consensus/tests/repair.rs
@@ -3,8 +3,11 @@
 use consensus::repair::{next_change, Change, MemberHealth, RepairPolicy, Standstill};
 use consensus::Member;
 
-const POLICY: RepairPolicy =
-    RepairPolicy { voters: 5, replace_after_ms: 1_000, forget_after_ms: 60_000 };
+const POLICY: RepairPolicy = RepairPolicy {
+    voters: 5,
+    replace_after_ms: 1_000,
+    forget_after_ms: 60_000,
+};
 
 /// A member and how it stands, in short: its identity, its place, and a state.
 #[derive(Clone, Copy)]
@@ -29,7 +32,11 @@
 fn health<'a>(members: &'a [(Member, Stands)]) -> Vec<MemberHealth<'a>> {
     let of = |(member, stands): &'a (Member, Stands)| MemberHealth {
         member,
-        silent_ms: if let Stands::Silent(silent_ms) = stands { *silent_ms } else { 50 },
+        silent_ms: if let Stands::Silent(silent_ms) = stands {
+            *silent_ms
+        } else {
+            50
+        },
         is_caught_up: matches!(stands, Stands::Well | Stands::Leaving),
         is_leaving: matches!(stands, Stands::Leaving),
     };
@@ -40,7 +47,9 @@
 
 fn change(voters: Listed, learners: Listed) -> Result<Change, Standstill> {
     let of = |list: Listed| -> Vec<(Member, Stands)> {
-        list.iter().map(|(identity, place, stands)| (member(*identity, place), *stands)).collect()
+        list.iter()
+            .map(|(identity, place, stands)| (member(*identity, place), *stands))
+            .collect()
     };
     let (voters, learners) = (of(voters), of(learners));
     next_change(&health(&voters), &health(&learners), 1, &POLICY)
@@ -68,8 +77,18 @@
     type Members = Vec<(u64, &'static str, Stands)>;
     type Case = (&'static str, Members, Members, Result<Change, Standstill>);
     let cases: Vec<Case> = vec![
-        ("all is well", FIVE.into(), vec![], Err(Standstill::Complete)),
-        ("a learner stands by", FIVE.into(), vec![(6, "c1", Well)], Err(Standstill::Complete)),
+        (
+            "all is well",
+            FIVE.into(),
+            vec![],
+            Err(Standstill::Complete),
+        ),
+        (
+            "a learner stands by",
+            FIVE.into(),
+            vec![(6, "c1", Well)],
+            Err(Standstill::Complete),
+        ),
         (
             "silent, nobody ready",
             five_with(3, Silent(9_000)),
@@ -88,7 +107,12 @@
             vec![(6, "c1", Well)],
             Ok(Promote(6)),
         ),
-        ("one that leaves", five_with(2, Leaving), vec![(6, "c1", Well)], Ok(Promote(6))),
+        (
+            "one that leaves",
+            five_with(2, Leaving),
+            vec![(6, "c1", Well)],
+            Ok(Promote(6)),
+        ),
         (
             "a learner that leaves is not ready",
             five_with(2, Silent(2_000)),
@@ -101,8 +125,18 @@
             vec![(6, "a1", Well), (7, "c1", Well)],
             Ok(Promote(7)),
         ),
-        ("too few", FIVE[..4].into(), vec![(6, "a1", Well), (7, "c1", Well)], Ok(Promote(7))),
-        ("a learner gone for good", FIVE.into(), vec![(6, "c1", Silent(60_000))], Ok(Forget(6))),
+        (
+            "too few",
+            FIVE[..4].into(),
+            vec![(6, "a1", Well), (7, "c1", Well)],
+            Ok(Promote(7)),
+        ),
+        (
+            "a learner gone for good",
+            FIVE.into(),
+            vec![(6, "c1", Silent(60_000))],
+            Ok(Forget(6)),
+        ),
         (
             "not forgotten while there is more to do",
             five_with(2, Silent(5_000)),
@@ -138,10 +172,21 @@
 #[test]
 fn voters_are_spread_so_that_a_region_may_go() {
     use Stands::Well;
-    let crowded =
-        [(1, "a1", Well), (2, "a2", Well), (3, "a2", Well), (4, "b1", Well), (5, "c1", Well)];
-    assert_eq!(change(&crowded, &[(6, "a1", Well)]), Err(Standstill::Complete));
-    assert_eq!(change(&crowded, &[(6, "a1", Well), (7, "b2", Well)]), Ok(Change::Promote(7)));
+    let crowded = [
+        (1, "a1", Well),
+        (2, "a2", Well),
+        (3, "a2", Well),
+        (4, "b1", Well),
+        (5, "c1", Well),
+    ];
+    assert_eq!(
+        change(&crowded, &[(6, "a1", Well)]),
+        Err(Standstill::Complete)
+    );
+    assert_eq!(
+        change(&crowded, &[(6, "a1", Well), (7, "b2", Well)]),
+        Ok(Change::Promote(7))
+    );
     let six: Vec<_> = crowded.into_iter().chain([(7, "b2", Well)]).collect();
     let demoted = change(&six, &[(6, "a1", Well)]);
     assert!(matches!(demoted, Ok(Change::Demote(2 | 3))), "{demoted:?}");
@@ -152,8 +197,16 @@
 fn the_leader_stays() {
     use Stands::{Leaving, Well};
     let voters = [(1, "a1", Leaving), (2, "a1", Well)];
-    let policy = RepairPolicy { voters: 1, ..POLICY };
-    let listed: Vec<(Member, Stands)> =
-        voters.iter().map(|(id, place, stands)| (member(*id, place), *stands)).collect();
-    assert_eq!(next_change(&health(&listed), &[], 1, &policy), Ok(Change::Demote(2)));
+    let policy = RepairPolicy {
+        voters: 1,
+        ..POLICY
+    };
+    let listed: Vec<(Member, Stands)> = voters
+        .iter()
+        .map(|(id, place, stands)| (member(*id, place), *stands))
+        .collect();
+    assert_eq!(
+        next_change(&health(&listed), &[], 1, &policy),
+        Ok(Change::Demote(2))
+    );
 }
--- a/consensus/tests/replacement.rs
+++ b/consensus/tests/replacement.rs
@@ -73,14 +73,17 @@
     world.due(pause, Due::Up(successor));
     run_for(world, pause);
     let started = now(world);
-    world.run(started + within, |world| world.is_whole(5)).map(|at| at - started)
+    world
+        .run(started + within, |world| world.is_whole(5))
+        .map(|at| at - started)
 }
 
 /// The machine that leads, a voter that follows, or a learner.
 fn pick(world: &mut World, seed: u64) -> usize {
     let leader = world.leader().expect("one leads");
-    let up: Vec<usize> =
-        (0..world.machines.len()).filter(|at| world.machines[*at].node.is_some()).collect();
+    let up: Vec<usize> = (0..world.machines.len())
+        .filter(|at| world.machines[*at].node.is_some())
+        .collect();
     match seed % 3 {
         0 => leader,
         _ => up[world.draw(up.len() as u64) as usize],
@@ -115,7 +118,10 @@
                 let took = took.unwrap_or_else(|| panic!("{machines}/{seed}/{turn}: not whole"));
                 worst = worst.max(took);
                 assert!(took <= time / 2, "{machines}/{seed}/{turn}: {took} ms");
-                assert!(commits(&mut world, 1_500), "{machines}/{seed}/{turn}: no change is taken");
+                assert!(
+                    commits(&mut world, 1_500),
+                    "{machines}/{seed}/{turn}: no change is taken"
+                );
                 // Just then the next one may go.
                 run_for(&mut world, time.saturating_sub(took + 1_500));
             }
@@ -145,15 +151,24 @@
             let begun = now(&world);
             world.answered.clear();
             while !world.answered.contains(&5) {
-                assert!(now(&world) < begun + 2_000, "{seed}/{turn}: it may never stop");
+                assert!(
+                    now(&world) < begun + 2_000,
+                    "{seed}/{turn}: it may never stop"
+                );
                 let leader = world.leader().expect("one leads");
                 world.step(leader, Input::Leave(5, identity));
                 run_for(&mut world, 80);
             }
             world.due(1, Due::Down(leaving));
             run_for(&mut world, 5);
-            assert!(world.is_whole(5), "{seed}/{turn}: all voters are up at once");
-            assert!(commits(&mut world, 500), "{seed}/{turn}: no change is taken");
+            assert!(
+                world.is_whole(5),
+                "{seed}/{turn}: all voters are up at once"
+            );
+            assert!(
+                commits(&mut world, 500),
+                "{seed}/{turn}: no change is taken"
+            );
         }
     }
 }
@@ -176,7 +191,10 @@
     world.answered.clear();
     world.step(leader, Input::Leave(5, leaving));
     run_for(&mut world, 50);
-    assert!(!world.answered.contains(&5), "two copies would be left, and two voters without one");
+    assert!(
+        !world.answered.contains(&5),
+        "two copies would be left, and two voters without one"
+    );
     world.cuts.clear();
     run_for(&mut world, 1_000);
     let leader = world.leader().expect("one leads");
@@ -193,28 +211,49 @@
     let leader = world.leader().expect("one leads");
     let voters: Vec<u64> = {
         let node = world.machines[leader].node.as_ref().expect("it is up");
-        node.members().voters.iter().map(|voter| voter.identity).collect()
+        node.members()
+            .voters
+            .iter()
+            .map(|voter| voter.identity)
+            .collect()
     };
     let at = |world: &World, identity| {
-        world.machines.iter().position(|m| m.member.identity == identity).expect("it is there")
+        world
+            .machines
+            .iter()
+            .position(|m| m.member.identity == identity)
+            .expect("it is there")
     };
-    let gone = at(&world, *voters.iter().find(|id| at(&world, **id) != leader).expect("another"));
+    let gone = at(
+        &world,
+        *voters
+            .iter()
+            .find(|id| at(&world, **id) != leader)
+            .expect("another"),
+    );
     world.due(1, Due::Down(gone));
     run_for(&mut world, 4_000);
     assert!(world.is_whole(5), "the learner took its place");
     let listed = |world: &World, at: usize| {
         let leader = world.leader().expect("one leads");
         let node = world.machines[leader].node.as_ref().expect("it is up");
-        node.members().get(world.machines[at].member.identity).is_some()
+        node.members()
+            .get(world.machines[at].member.identity)
+            .is_some()
     };
     assert!(listed(&world, gone), "it is a learner");
     run_for(&mut world, 61_000);
     assert!(!listed(&world, gone), "it was forgotten");
     world.due(1, Due::Up(gone));
     run_for(&mut world, 4_000);
-    assert!(listed(&world, gone), "it was let in again, with its identity and its disk");
+    assert!(
+        listed(&world, gone),
+        "it was let in again, with its identity and its disk"
+    );
     let leader = world.leader().expect("one leads");
-    let other = (0..6).find(|at| *at != leader && *at != gone).expect("a third one");
+    let other = (0..6)
+        .find(|at| *at != leader && *at != gone)
+        .expect("a third one");
     world.due(1, Due::Down(other));
     run_for(&mut world, 4_000);
     assert!(world.is_whole(5));
--- a/consensus/tests/snapshots.rs
+++ b/consensus/tests/snapshots.rs
@@ -20,7 +20,11 @@
 /// 256 documents of 1 MiB would be 256 MiB.
 #[test]
 fn large_documents_bring_a_snapshot_before_the_entries_do() {
-    let conditions = Conditions { change_bytes: MIB, state_bytes: MIB, ..Conditions::default() };
+    let conditions = Conditions {
+        change_bytes: MIB,
+        state_bytes: MIB,
+        ..Conditions::default()
+    };
     let mut cluster = Cluster::led(1, conditions);
     cluster.storm(200, 10);
     cluster.run(4_000);
@@ -35,8 +39,11 @@
 #[test]
 fn ten_thousand_changes_fit_a_small_disk() {
     for crashes in [0, 40] {
-        let conditions =
-            Conditions { change_bytes: 60_000, state_bytes: 400_000, ..Conditions::default() };
+        let conditions = Conditions {
+            change_bytes: 60_000,
+            state_bytes: 400_000,
+            ..Conditions::default()
+        };
         let mut cluster = Cluster::led(1, conditions);
         cluster.storm(10_000, 10);
         for _ in 0..crashes {
@@ -46,7 +53,9 @@
             cluster.start(0);
         }
         let is_done = |cluster: &Cluster| cluster.proposed >= 10_000;
-        cluster.run_until(300_000, is_done).expect("all are proposed");
+        cluster
+            .run_until(300_000, is_done)
+            .expect("all are proposed");
         cluster.run(2_000);
         let disk = &cluster.machines[0].disk;
         let (most, now) = (disk.most_bytes(), disk.bytes());
@@ -59,20 +68,40 @@
 /// Guards: a snapshot is not taken over and over while large changes wait.
 #[test]
 fn only_what_is_applied_counts_towards_a_snapshot() {
-    let policy = SnapshotPolicy { entries: 1_000, bytes: 100 };
+    let policy = SnapshotPolicy {
+        entries: 1_000,
+        bytes: 100,
+    };
     let mut follower = Follower::new();
-    follower.hear(append(1, 1, 1, (2..=9).map(|index| command(index, 1)).collect()));
-    assert!(!follower.node.is_snapshot_due(policy), "nothing of it is committed");
+    follower.hear(append(
+        1,
+        1,
+        1,
+        (2..=9).map(|index| command(index, 1)).collect(),
+    ));
+    assert!(
+        !follower.node.is_snapshot_due(policy),
+        "nothing of it is committed"
+    );
     follower.hear(append(9, 1, 4, Vec::new()));
     assert!(follower.node.is_snapshot_due(policy));
     follower.step(Input::SnapshotTaken(2, vec![1]));
-    assert!(follower.node.is_snapshot_due(policy), "two of fifty bytes each are left");
+    assert!(
+        follower.node.is_snapshot_due(policy),
+        "two of fifty bytes each are left"
+    );
     follower.step(Input::SnapshotTaken(4, vec![1]));
-    assert!(!follower.node.is_snapshot_due(policy), "what is committed is in it");
+    assert!(
+        !follower.node.is_snapshot_due(policy),
+        "what is committed is in it"
+    );
     follower.hear(append(9, 1, 9, Vec::new()));
     assert!(follower.node.is_snapshot_due(policy));
     follower.hear(install(50, 1));
-    assert!(!follower.node.is_snapshot_due(policy), "the leader's one holds it all");
+    assert!(
+        !follower.node.is_snapshot_due(policy),
+        "the leader's one holds it all"
+    );
 }
 
 fn member(identity: u64) -> Member {
@@ -87,23 +116,45 @@
 }
 
 fn members() -> Membership {
-    Membership { voters: (1..=3).map(member).collect(), ..Membership::default() }
+    Membership {
+        voters: (1..=3).map(member).collect(),
+        ..Membership::default()
+    }
 }
 
 fn command(index: LogIndex, term: Term) -> Entry {
-    Entry { index, term, payload: EntryPayload::Command(vec![7; 50]) }
+    Entry {
+        index,
+        term,
+        payload: EntryPayload::Command(vec![7; 50]),
+    }
 }
 
 fn append(prior_index: LogIndex, prior_term: Term, commit: LogIndex, entries: Vec<Entry>) -> Body {
-    Body::AppendEntries { prior_index, prior_term, commit, round: 1, entries }
+    Body::AppendEntries {
+        prior_index,
+        prior_term,
+        commit,
+        round: 1,
+        entries,
+    }
 }
 
 fn snapshot(index: LogIndex, term: Term) -> Snapshot {
-    Snapshot { index, term, cluster: CLUSTER, members: members(), state: vec![3; 10] }
+    Snapshot {
+        index,
+        term,
+        cluster: CLUSTER,
+        members: members(),
+        state: vec![3; 10],
+    }
 }
 
 fn install(index: LogIndex, term: Term) -> Body {
-    Body::InstallSnapshot { round: 1, snapshot: snapshot(index, term) }
+    Body::InstallSnapshot {
+        round: 1,
+        snapshot: snapshot(index, term),
+    }
 }
 
 /// One follower of a leader that the test plays, and its disk.
@@ -123,8 +174,16 @@
         let (mut log, _) = WriteAheadLog::open(disk.clone()).expect("a blank disk opens");
         let payload = EntryPayload::Membership(members());
         log.write(&[
-            Write::HardState(HardState { term: 1, vote: 0, cluster: CLUSTER }),
-            Write::Entry(Entry { index: 1, term: 1, payload }),
+            Write::HardState(HardState {
+                term: 1,
+                vote: 0,
+                cluster: CLUSTER,
+            }),
+            Write::Entry(Entry {
+                index: 1,
+                term: 1,
+                payload,
+            }),
         ])
         .expect("there is room");
         let (log, kept) = WriteAheadLog::open(disk.clone()).expect("it is read back");
@@ -143,7 +202,12 @@
             match effect {
                 Effect::Write(ticket, writes) => self.unwritten.push((ticket, writes)),
                 Effect::Send(Message {
-                    body: Body::AppendEntriesResponse { is_match: true, matched, .. },
+                    body:
+                        Body::AppendEntriesResponse {
+                            is_match: true,
+                            matched,
+                            ..
+                        },
                     ..
                 }) => {
                     self.claimed = self.claimed.max(matched);
@@ -163,7 +227,13 @@
 
     fn hear(&mut self, body: Body) {
         let term = self.node.term();
-        self.step(Input::Received(Message { from: LEADER, to: 1, cluster: CLUSTER, term, body }));
+        self.step(Input::Received(Message {
+            from: LEADER,
+            to: 1,
+            cluster: CLUSTER,
+            term,
+            body,
+        }));
     }
 
     fn write_one(&mut self) {
@@ -177,7 +247,9 @@
 
     /// What the disk would give back now.
     fn on_disk(&self) -> PersistedState {
-        WriteAheadLog::open(self.disk.copied()).expect("it is read back").1
+        WriteAheadLog::open(self.disk.copied())
+            .expect("it is read back")
+            .1
     }
 
     /// How far the disk goes.
@@ -193,7 +265,12 @@
 #[test]
 fn a_snapshot_that_is_not_written_yet_is_not_claimed() {
     let mut follower = Follower::new();
-    follower.hear(append(1, 1, 9, (2..=9).map(|index| command(index, 1)).collect()));
+    follower.hear(append(
+        1,
+        1,
+        9,
+        (2..=9).map(|index| command(index, 1)).collect(),
+    ));
     assert_eq!(follower.applied, 9, "a majority of others has them");
     follower.step(Input::SnapshotTaken(9, vec![1]));
     assert_eq!(follower.claimed, 1);
@@ -211,8 +288,19 @@
 #[test]
 fn a_heartbeat_commits_no_branch() {
     let mut follower = Follower::new();
-    follower.hear(append(1, 1, 1, (2..=5).map(|index| command(index, 1)).collect()));
-    let message = |body| Message { from: 3, to: 1, cluster: CLUSTER, term: 2, body };
+    follower.hear(append(
+        1,
+        1,
+        1,
+        (2..=5).map(|index| command(index, 1)).collect(),
+    ));
+    let message = |body| Message {
+        from: 3,
+        to: 1,
+        cluster: CLUSTER,
+        term: 2,
+        body,
+    };
     follower.step(Input::Received(message(append(1, 1, 4, Vec::new()))));
     assert_eq!((follower.node.commit(), follower.node.last()), (1, 5));
     let entries = vec![command(2, 2), command(3, 2)];
@@ -274,13 +362,21 @@
                     follower.hear(append(index, 1, committed, entries));
                 }
             }
-            assert!(follower.node.commit() >= commit, "seed {number}: the commit fell");
+            assert!(
+                follower.node.commit() >= commit,
+                "seed {number}: the commit fell"
+            );
             commit = follower.node.commit();
-            assert!(follower.claimed <= follower.last_on_disk(), "seed {number}, turn {turn}");
+            assert!(
+                follower.claimed <= follower.last_on_disk(),
+                "seed {number}, turn {turn}"
+            );
         }
         // Power goes: all that was claimed is there.
         let claimed = follower.claimed;
-        follower.disk.lose_power(draw(&mut seed, u64::MAX), draw(&mut seed, 1_001) as usize);
+        follower
+            .disk
+            .lose_power(draw(&mut seed, u64::MAX), draw(&mut seed, 1_001) as usize);
         assert!(follower.last_on_disk() >= claimed, "seed {number}");
     }
 }
--- a/consensus/tests/support/cluster.rs
+++ b/consensus/tests/support/cluster.rs
@@ -19,7 +19,12 @@
 
 /// What the platform's control nodes run with.
 pub fn platform_timing(voters: usize) -> Timing {
-    Timing { heartbeat_ms: 120, election_timeout_ms: 500, voters, ..Timing::default() }
+    Timing {
+        heartbeat_ms: 120,
+        election_timeout_ms: 500,
+        voters,
+        ..Timing::default()
+    }
 }
 
 /// Links, disks and documents of a cluster.
@@ -48,7 +53,10 @@
             sync_ms: 3,
             change_bytes: 1_000,
             state_bytes: 20_000,
-            policy: SnapshotPolicy { entries: 256, bytes: 8 << 20 },
+            policy: SnapshotPolicy {
+                entries: 256,
+                bytes: 8 << 20,
+            },
             seed: 1,
         }
     }
@@ -124,10 +132,21 @@
         let timing = platform_timing(nodes);
         let first_voters = voters;
         let voters = (0..voters).map(member).collect();
-        let members = Membership { voters, ..Membership::default() };
-        let first = Entry { index: 1, term: 1, payload: EntryPayload::Membership(members) };
+        let members = Membership {
+            voters,
+            ..Membership::default()
+        };
+        let first = Entry {
+            index: 1,
+            term: 1,
+            payload: EntryPayload::Membership(members),
+        };
         let begin = [
-            Write::HardState(HardState { term: 1, vote: 0, cluster: CLUSTER }),
+            Write::HardState(HardState {
+                term: 1,
+                vote: 0,
+                cluster: CLUSTER,
+            }),
             Write::Entry(first),
         ];
         let machine = |at: usize| {
@@ -137,7 +156,13 @@
                 log.write(&begin).expect("there is room");
             }
             let sync_ms = conditions.sync_ms;
-            Machine { member: member(at), disk, sync_ms, running: None, starts: 0 }
+            Machine {
+                member: member(at),
+                disk,
+                sync_ms,
+                running: None,
+                starts: 0,
+            }
         };
         Cluster {
             now: 1_000,
@@ -195,7 +220,8 @@
 
     /// Forgets what was to be proposed.
     pub fn stop_storm(&mut self) {
-        self.queue.retain(|_, event| !matches!(event, Event::Propose(_)));
+        self.queue
+            .retain(|_, event| !matches!(event, Event::Propose(_)));
     }
 
     pub fn start_after(&mut self, after: u64, at: usize) {
@@ -214,7 +240,10 @@
     }
 
     fn begin(&mut self, at: usize, log: WriteAheadLog<MemoryDisk>, kept: PersistedState) {
-        let state = kept.snapshot.as_ref().map_or(Vec::new(), |taken| taken.state.clone());
+        let state = kept
+            .snapshot
+            .as_ref()
+            .map_or(Vec::new(), |taken| taken.state.clone());
         let seed = self.draw(u64::MAX);
         let identity = self.machines[at].member.identity;
         let machine = &mut self.machines[at];
@@ -234,7 +263,9 @@
         let operations = self.draw(8) as u32;
         let (kept, share) = (self.draw(u64::MAX), self.draw(1_001) as usize);
         let machine = &mut self.machines[at];
-        let Some(mut running) = machine.running.take() else { return };
+        let Some(mut running) = machine.running.take() else {
+            return;
+        };
         if let Some((_, batch)) = running.writing.take() {
             machine.disk.fail_after(Some(operations));
             drop(running.log.write(&batch));
@@ -243,32 +274,44 @@
     }
 
     pub fn node(&self, at: usize) -> Option<&Node> {
-        self.machines[at].running.as_ref().map(|running| &running.node)
+        self.machines[at]
+            .running
+            .as_ref()
+            .map(|running| &running.node)
     }
 
     /// The newest leader.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |at: &usize| self.node(*at).is_some_and(|node| node.role() == Role::Leader);
-        (0..self.machines.len()).filter(leads).max_by_key(|at| self.node(*at).map(Node::term))
+        let leads = |at: &usize| {
+            self.node(*at)
+                .is_some_and(|node| node.role() == Role::Leader)
+        };
+        (0..self.machines.len())
+            .filter(leads)
+            .max_by_key(|at| self.node(*at).map(Node::term))
     }
 
     /// A leader whose own first entry is committed.
     pub fn settled_leader(&self) -> Option<usize> {
-        self.leader().filter(|at| self.node(*at).is_some_and(Node::is_settled))
+        self.leader()
+            .filter(|at| self.node(*at).is_some_and(Node::is_settled))
     }
 
     /// Whether a machine's state is that of the newest acknowledged change.
     pub fn is_current(&self, at: usize) -> bool {
-        self.node(at).is_some_and(|node| node.applied() >= self.acknowledged)
+        self.node(at)
+            .is_some_and(|node| node.applied() >= self.acknowledged)
     }
 
     pub fn total_traffic(&self) -> Traffic {
-        self.traffic.iter().fold(Traffic::default(), |sum, one| Traffic {
-            messages: sum.messages + one.messages,
-            bytes: sum.bytes + one.bytes,
-            snapshots: sum.snapshots + one.snapshots,
-            entries: sum.entries + one.entries,
-        })
+        self.traffic
+            .iter()
+            .fold(Traffic::default(), |sum, one| Traffic {
+                messages: sum.messages + one.messages,
+                bytes: sum.bytes + one.bytes,
+                snapshots: sum.snapshots + one.snapshots,
+                entries: sum.entries + one.entries,
+            })
     }
 
     /// Runs for so long.
@@ -289,7 +332,11 @@
                 return None;
             }
             self.now = next;
-            while self.queue.first_key_value().is_some_and(|((at, _), _)| *at <= self.now) {
+            while self
+                .queue
+                .first_key_value()
+                .is_some_and(|((at, _), _)| *at <= self.now)
+            {
                 let (_, event) = self.queue.pop_first().expect("looked at above");
                 self.handle(event);
             }
@@ -360,8 +407,12 @@
     }
 
     fn finish_write(&mut self, at: usize) {
-        let Some(running) = self.machines[at].running.as_mut() else { return };
-        let Some((ticket, batch)) = running.writing.take() else { return };
+        let Some(running) = self.machines[at].running.as_mut() else {
+            return;
+        };
+        let Some((ticket, batch)) = running.writing.take() else {
+            return;
+        };
         if running.log.write(&batch).is_ok() {
             self.begin_write(at);
             return self.step(at, Input::Synced(ticket));
@@ -374,7 +425,9 @@
     }
 
     fn retry_disk(&mut self, at: usize) {
-        let Some(running) = self.machines[at].running.as_mut() else { return };
+        let Some(running) = self.machines[at].running.as_mut() else {
+            return;
+        };
         match running.log.reopened() {
             Ok((log, kept)) => self.begin(at, log, kept),
             Err(_) => {
@@ -388,19 +441,27 @@
     fn begin_write(&mut self, at: usize) {
         let machine = &mut self.machines[at];
         let (start, sync_ms) = (machine.starts, machine.sync_ms);
-        let Some(running) = machine.running.as_mut() else { return };
+        let Some(running) = machine.running.as_mut() else {
+            return;
+        };
         if running.writing.is_some() || running.queued.is_empty() {
             return;
         }
         let ticket = running.queued.back().map_or(0, |(ticket, _)| *ticket);
-        let batch = running.queued.drain(..).flat_map(|(_, writes)| writes).collect();
+        let batch = running
+            .queued
+            .drain(..)
+            .flat_map(|(_, writes)| writes)
+            .collect();
         running.writing = Some((ticket, batch));
         self.at(sync_ms, Event::DiskDone(at, start));
     }
 
     pub fn step(&mut self, at: usize, input: Input) {
         let now = self.now;
-        let Some(running) = self.machines[at].running.as_mut() else { return };
+        let Some(running) = self.machines[at].running.as_mut() else {
+            return;
+        };
         let effects = running.node.step(now, input);
         for effect in effects {
             self.carry_out(at, effect);
@@ -411,7 +472,9 @@
 
     fn take_snapshot(&mut self, at: usize) {
         let (policy, state_bytes) = (self.conditions.policy, self.conditions.state_bytes);
-        let Some(running) = self.machines[at].running.as_ref() else { return };
+        let Some(running) = self.machines[at].running.as_ref() else {
+            return;
+        };
         if running.node.is_snapshot_due(policy) {
             let state = running.applied.snapshot(state_bytes);
             self.step(at, Input::SnapshotTaken(running.applied.index, state));
@@ -419,7 +482,9 @@
     }
 
     fn check_leader(&mut self, at: usize) {
-        let Some(node) = self.node(at).filter(|node| node.role() == Role::Leader) else { return };
+        let Some(node) = self.node(at).filter(|node| node.role() == Role::Leader) else {
+            return;
+        };
         let (term, identity) = (node.term(), node.identity());
         let known = *self.leaders.entry(term).or_insert(identity);
         assert_eq!(known, identity, "one leader in term {term}");
@@ -438,13 +503,23 @@
             Effect::Apply(entry, token) => self.apply(at, &entry, token),
             Effect::Restore(snapshot) => {
                 let applied = Applied::restored(&snapshot.state);
-                assert_eq!(Some(&applied.sum), self.sums.get(&applied.index), "restored at {at}");
+                assert_eq!(
+                    Some(&applied.sum),
+                    self.sums.get(&applied.index),
+                    "restored at {at}"
+                );
                 let running = self.machines[at].running.as_mut().expect("it just stepped");
-                assert!(applied.index > running.applied.index, "a state is never undone");
+                assert!(
+                    applied.index > running.applied.index,
+                    "a state is never undone"
+                );
                 running.applied = applied;
             }
             Effect::ReadReady(acknowledged, index) => {
-                assert!(index >= acknowledged, "a read at {index} misses {acknowledged}");
+                assert!(
+                    index >= acknowledged,
+                    "a read at {index} misses {acknowledged}"
+                );
                 self.reads += 1;
             }
             Effect::Refused(..) => {}
@@ -453,11 +528,19 @@
 
     fn apply(&mut self, at: usize, entry: &Entry, token: Option<Token>) {
         let running = self.machines[at].running.as_mut().expect("it just stepped");
-        assert_eq!(entry.index, running.applied.index + 1, "node {at} applies in order");
+        assert_eq!(
+            entry.index,
+            running.applied.index + 1,
+            "node {at} applies in order"
+        );
         running.applied = running.applied.after(entry);
         let sum = running.applied.sum;
         let known = *self.sums.entry(entry.index).or_insert(sum);
-        assert_eq!(known, sum, "node {at} applies another entry {}", entry.index);
+        assert_eq!(
+            known, sum,
+            "node {at} applies another entry {}",
+            entry.index
+        );
         if token.is_some_and(|token| token != ADMISSION) {
             self.acknowledged = self.acknowledged.max(entry.index);
         }
@@ -474,7 +557,11 @@
         if self.cut.contains(&(from, to)) || self.draw(1_000) < self.conditions.lost {
             return;
         }
-        let copies = if self.draw(1_000) < self.conditions.duplicated { 2 } else { 1 };
+        let copies = if self.draw(1_000) < self.conditions.duplicated {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let delay = self.conditions.link_ms + self.draw(self.conditions.jitter_ms + 1);
             self.at(delay, Event::Deliver(message.clone()));
--- a/consensus/tests/support/disk.rs
+++ b/consensus/tests/support/disk.rs
@@ -93,11 +93,18 @@
 
 impl Disk {
     fn bytes(&self) -> usize {
-        self.folder.values().map(|content| self.contents[*content].bytes.len()).sum()
+        self.folder
+            .values()
+            .map(|content| self.contents[*content].bytes.len())
+            .sum()
     }
 
     fn unsynced_names(&self) -> Vec<String> {
-        let mut names: Vec<&String> = self.folder.keys().chain(self.synced_folder.keys()).collect();
+        let mut names: Vec<&String> = self
+            .folder
+            .keys()
+            .chain(self.synced_folder.keys())
+            .collect();
         names.sort_unstable();
         names.dedup();
         let is_unsynced = |name: &&String| self.folder.get(*name) != self.synced_folder.get(*name);
@@ -127,7 +134,9 @@
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
-        self.disk().content(name).map(|content| content.bytes.clone())
+        self.disk()
+            .content(name)
+            .map(|content| content.bytes.clone())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -174,7 +183,10 @@
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.disk();
         disk.operate()?;
-        disk.folder.remove(name).map(|_| ()).ok_or(io::ErrorKind::NotFound.into())
+        disk.folder
+            .remove(name)
+            .map(|_| ())
+            .ok_or(io::ErrorKind::NotFound.into())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
--- a/consensus/tests/support/state.rs
+++ b/consensus/tests/support/state.rs
@@ -12,7 +12,10 @@
 impl Applied {
     /// With one more entry.
     pub fn after(self, entry: &Entry) -> Applied {
-        Applied { index: entry.index, sum: mixed(self.sum, entry) }
+        Applied {
+            index: entry.index,
+            sum: mixed(self.sum, entry),
+        }
     }
 
     /// A snapshot of so many bytes.
@@ -29,7 +32,10 @@
             let bytes = state.get(from..from + 8)?;
             Some(u64::from_be_bytes(bytes.try_into().expect("eight bytes")))
         };
-        Applied { index: number(0).unwrap_or(0), sum: number(8).unwrap_or(0) }
+        Applied {
+            index: number(0).unwrap_or(0),
+            sum: number(8).unwrap_or(0),
+        }
     }
 }
 
@@ -40,5 +46,7 @@
     };
     let fold = |sum: u64, byte: u64| (sum ^ byte).wrapping_mul(0x100_0000_01b3);
     let sum = fold(fold(sum, entry.index), entry.term);
-    bytes.iter().fold(sum, |sum, byte| fold(sum, u64::from(*byte)))
+    bytes
+        .iter()
+        .fold(sum, |sum, byte| fold(sum, u64::from(*byte)))
 }
--- a/consensus/tests/write_ahead_log.rs
+++ b/consensus/tests/write_ahead_log.rs
@@ -21,13 +21,22 @@
     fn of(kept: &PersistedState) -> Holding {
         Holding {
             hard_state_term: kept.hard_state.term,
-            snapshot: kept.snapshot.as_ref().map_or((0, 0), |taken| (taken.index, taken.term)),
-            entries: kept.entries.iter().map(|entry| (entry.index, entry.term)).collect(),
+            snapshot: kept
+                .snapshot
+                .as_ref()
+                .map_or((0, 0), |taken| (taken.index, taken.term)),
+            entries: kept
+                .entries
+                .iter()
+                .map(|entry| (entry.index, entry.term))
+                .collect(),
         }
     }
 
     fn last(&self) -> LogIndex {
-        self.entries.last().map_or(self.snapshot.0, |(index, _)| *index)
+        self.entries
+            .last()
+            .map_or(self.snapshot.0, |(index, _)| *index)
     }
 
     fn term_at(&self, index: LogIndex) -> Term {
@@ -54,11 +63,21 @@
 }
 
 fn entry(index: LogIndex, term: Term) -> Write {
-    Write::Entry(Entry { index, term, payload: EntryPayload::Command(vec![b'x'; 30]) })
+    Write::Entry(Entry {
+        index,
+        term,
+        payload: EntryPayload::Command(vec![b'x'; 30]),
+    })
 }
 
 fn snapshot(index: LogIndex, term: Term) -> Snapshot {
-    Snapshot { index, term, cluster: 7, members: Membership::default(), state: vec![9; 50] }
+    Snapshot {
+        index,
+        term,
+        cluster: 7,
+        members: Membership::default(),
+        state: vec![9; 50],
+    }
 }
 
 /// What is done to a log, one step after the other.
@@ -74,7 +93,9 @@
 fn carry_out(disk: &MemoryDisk, steps: &[Step], operations: Option<u32>) -> (Holding, Holding) {
     disk.fail_after(operations);
     let mut held = Holding::default();
-    let Ok((mut log, _)) = WriteAheadLog::open(disk.clone()) else { return (held.clone(), held) };
+    let Ok((mut log, _)) = WriteAheadLog::open(disk.clone()) else {
+        return (held.clone(), held);
+    };
     for step in steps {
         match step {
             Step::Write(write) => {
@@ -103,7 +124,10 @@
         Err(error) => panic!("{case}: it can't be read back: {error}"),
     };
     let found = Holding::of(&kept);
-    assert!(found == *held || found == *next, "{case}: {found:?}, not {held:?} or {next:?}");
+    assert!(
+        found == *held || found == *next,
+        "{case}: {found:?}, not {held:?} or {next:?}"
+    );
     let write = entry(found.last() + 1, 99);
     let wanted = found.after(&write);
     log.write(&[write]).expect("the disk takes writes again");
@@ -145,13 +169,21 @@
 /// no gap that stops the node.
 #[test]
 fn every_subset_of_removals_can_be_read_back() {
-    let hard_state = HardState { term: 1, vote: 2, cluster: 7 };
+    let hard_state = HardState {
+        term: 1,
+        vote: 2,
+        cluster: 7,
+    };
     let mut steps = written([Write::HardState(hard_state)]);
     for index in 1..=6 {
         steps.extend(written([entry(index, 1)]));
         steps.push(Step::Restart);
     }
-    steps.extend(written([entry(7, 1), Write::Snapshot(snapshot(6, 1)), entry(8, 1)]));
+    steps.extend(written([
+        entry(7, 1),
+        Write::Snapshot(snapshot(6, 1)),
+        entry(8, 1),
+    ]));
     let cases = check_every_loss(&steps);
     assert!(cases > 150, "{cases} cases");
 }
@@ -165,7 +197,11 @@
     steps.push(Step::Restart);
     steps.extend(written([Write::Truncate(3), entry(3, 2), entry(4, 2)]));
     steps.push(Step::Restart);
-    steps.extend(written([entry(5, 2), Write::Snapshot(snapshot(4, 2)), entry(6, 2)]));
+    steps.extend(written([
+        entry(5, 2),
+        Write::Snapshot(snapshot(4, 2)),
+        entry(6, 2),
+    ]));
     check_every_loss(&steps);
 }
 
@@ -176,9 +212,16 @@
     let mut steps = written((1..=4).map(|index| entry(index, 1)));
     steps.push(Step::Restart);
     steps.extend(written([entry(5, 1), entry(6, 1)]));
-    steps.extend(written([Write::InstallSnapshot(snapshot(5, 3)), entry(6, 3)]));
+    steps.extend(written([
+        Write::InstallSnapshot(snapshot(5, 3)),
+        entry(6, 3),
+    ]));
     steps.push(Step::Restart);
-    steps.extend(written([entry(7, 3), Write::InstallSnapshot(snapshot(20, 4)), entry(21, 4)]));
+    steps.extend(written([
+        entry(7, 3),
+        Write::InstallSnapshot(snapshot(20, 4)),
+        entry(21, 4),
+    ]));
     steps.extend(written([Write::Snapshot(snapshot(21, 4))]));
     check_every_loss(&steps);
 }
@@ -211,7 +254,11 @@
             }
             8 => {
                 term += 1;
-                Write::HardState(HardState { term, vote: 0, cluster: 7 })
+                Write::HardState(HardState {
+                    term,
+                    vote: 0,
+                    cluster: 7,
+                })
             }
             9 | 10 if last > floor => {
                 let index = floor + 1 + draw(seed, last - floor);
@@ -247,11 +294,18 @@
     let disk = MemoryDisk::default();
     let (held, _) = carry_out(&disk, &written([entry(1, 1)]), None);
     let mut files = disk.clone();
-    files.append("segment-000000000002", &[0; 40]).expect("there is room");
+    files
+        .append("segment-000000000002", &[0; 40])
+        .expect("there is room");
     check_after_loss(&disk, &held, &held, "zeros");
     let mut damaged = disk.copied();
-    damaged.append("segment-000000000099", &[7; 40]).expect("there is room");
-    assert!(WriteAheadLog::open(damaged).is_err(), "anything else is damage");
+    damaged
+        .append("segment-000000000099", &[7; 40])
+        .expect("there is room");
+    assert!(
+        WriteAheadLog::open(damaged).is_err(),
+        "anything else is damage"
+    );
 }
 
 /// Guards: bounded disk. A power that goes after each snapshot, before the log is
@@ -270,9 +324,13 @@
         let before = disk.copied();
         // Written, renamed and synced; the new segment is not begun.
         disk.fail_after(Some(4));
-        log.write(&[Write::Snapshot(snapshot(last, turn))]).expect_err("power goes");
+        log.write(&[Write::Snapshot(snapshot(last, turn))])
+            .expect_err("power goes");
         disk.lose_power(0, 0);
-        assert!(disk.bytes() > before.bytes(), "the snapshot is there, and so is the log");
+        assert!(
+            disk.bytes() > before.bytes(),
+            "the snapshot is there, and so is the log"
+        );
         most = most.max(disk.bytes());
     }
     assert!(most < 4_000, "{most} bytes");
--- a/directory/src/asked.rs
+++ b/directory/src/asked.rs
@@ -26,9 +26,13 @@
     /// A question of this number is sent there.
     pub fn sent(&mut self, now: u64, number: u64, address: &str) {
         if self.open.len() >= MANY {
-            self.open.retain(|_, question| now < question.sent_ms + OPEN_MS);
+            self.open
+                .retain(|_, question| now < question.sent_ms + OPEN_MS);
         }
-        let question = SentRequest { address: address.to_string(), sent_ms: now };
+        let question = SentRequest {
+            address: address.to_string(),
+            sent_ms: now,
+        };
         self.open.insert(number, question);
     }
 
--- a/directory/src/driver/mod.rs
+++ b/directory/src/driver/mod.rs
@@ -12,13 +12,13 @@
 use consensus::node::{PersistedState, Write};
 use consensus::{Membership, Message, NodeId, Term};
 use parking_lot::RwLock;
+use protocol::{Frame, PeerRequest, PeerResponse, Validity, LEASE_MS};
 use residency::{Mapping, Proposal, State, View};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::SyncSender;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
-use protocol::{Frame, PeerRequest, PeerResponse, Validity, LEASE_MS};
 use transport::now;
 use transport::web::Refusal;
 
@@ -114,7 +114,10 @@
 
 impl Standstill {
     fn new() -> Standstill {
-        Standstill { watched_at: AtomicU64::new(now()), ended_at: AtomicU64::new(0) }
+        Standstill {
+            watched_at: AtomicU64::new(now()),
+            ended_at: AtomicU64::new(0),
+        }
     }
 
     fn watch(&self) {
@@ -138,7 +141,12 @@
 
     pub async fn ask(&self, question: PeerRequest) -> PeerResponse {
         let until = now() + ASK_PATIENCE_MS;
-        self.ask_asked(Asked { question, until, only_term: None }).await
+        self.ask_asked(Asked {
+            question,
+            until,
+            only_term: None,
+        })
+        .await
     }
 
     async fn ask_asked(&self, asked: Asked) -> PeerResponse {
@@ -184,7 +192,11 @@
         while now() < until {
             let question = PeerRequest::Submit(proposal.clone());
             let until_reply = until.min(now() + ASK_PATIENCE_MS);
-            let asked = Asked { question, until: until_reply, only_term };
+            let asked = Asked {
+                question,
+                until: until_reply,
+                only_term,
+            };
             let left = Duration::from_millis(until.saturating_sub(now()));
             let answer = tokio::time::timeout(left, self.ask_asked(asked)).await;
             reply = answer.unwrap_or(PeerResponse::Lost);
@@ -217,18 +229,33 @@
         region: &str,
     ) -> Option<Result<Mapping, (&'static str, String)>> {
         let state = self.state.read();
-        self.is_recent().then(|| state.resolve(tenant, service, region))
+        self.is_recent()
+            .then(|| state.resolve(tenant, service, region))
     }
 
     /// Leave to dispatch a forwarded job, in the last moment.
     pub fn leave(&self, mapping: &Mapping) -> Result<(), Refusal> {
-        let asker = mapping.regions.first().map_or("", |region| region.0.as_str());
+        let asker = mapping
+            .regions
+            .first()
+            .map_or("", |region| region.0.as_str());
         let Some(resolved) = self.resolve(&mapping.tenant, &mapping.service, asker) else {
             return Err(cut_off());
         };
         match resolved {
-            Ok(now) if mapping.regions.iter().all(|region| now.regions.contains(region)) => Ok(()),
-            _ => Err(Refusal::not_run(503, "mapping-void", "homes changed meanwhile")),
+            Ok(now)
+                if mapping
+                    .regions
+                    .iter()
+                    .all(|region| now.regions.contains(region)) =>
+            {
+                Ok(())
+            }
+            _ => Err(Refusal::not_run(
+                503,
+                "mapping-void",
+                "homes changed meanwhile",
+            )),
         }
     }
 
@@ -244,7 +271,12 @@
     /// Before this node stops: hands leadership over, and waits until the others hold
     /// all that counts and, where a learner stands ready, one has taken its place.
     pub async fn prepare_to_stop(&self, identity: NodeId, patience: Duration) {
-        let is_alone = self.cluster_status.borrow().members.all().all(|m| m.identity == identity);
+        let is_alone = self
+            .cluster_status
+            .borrow()
+            .members
+            .all()
+            .all(|m| m.identity == identity);
         if is_alone {
             return;
         }
@@ -278,5 +310,9 @@
 
 /// The refusal of a node that no majority has confirmed lately.
 pub fn cut_off() -> Refusal {
-    Refusal::not_run(503, "no-lease", "this directory node is cut off from a majority")
+    Refusal::not_run(
+        503,
+        "no-lease",
+        "this directory node is cut off from a majority",
+    )
 }
--- a/directory/src/driver/thread/mod.rs
+++ b/directory/src/driver/thread/mod.rs
@@ -15,6 +15,7 @@
 use consensus::{EntryPayload, Member, NodeId, Term};
 use parking_lot::RwLock;
 use placement::{Margin, Paces, Pools};
+use protocol::{Frame, FrontShares, PeerResponse};
 use residency::{Event, Proposal, State, View};
 use status::describe;
 use std::collections::HashMap;
@@ -23,7 +24,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
-use protocol::{Frame, FrontShares, PeerResponse};
 use transport::counters::Counters;
 use transport::now;
 
@@ -63,7 +63,10 @@
 /// Who waits for an answer.
 enum Waiter {
     /// A task of this process; the question came in at `asked_at`.
-    Here { sender: oneshot::Sender<PeerResponse>, asked_at: u64 },
+    Here {
+        sender: oneshot::Sender<PeerResponse>,
+        asked_at: u64,
+    },
     /// Another node, with its own number of the question.
     There(NodeId, u64),
 }
@@ -167,7 +170,9 @@
         is_confirmed_by,
     };
     thread.publish();
-    std::thread::Builder::new().name("consensus".into()).spawn(move || thread.run(&ring))?;
+    std::thread::Builder::new()
+        .name("consensus".into())
+        .spawn(move || thread.run(&ring))?;
     Ok(driver)
 }
 
@@ -217,10 +222,20 @@
             DriverCommand::DiskBack(kept, disk) => self.begin_again(kept, disk),
             DriverCommand::Ask(asked, reply) => self.ask(asked, reply),
             DriverCommand::AskedBy(forwarded) => self.asked_by(forwarded),
-            DriverCommand::Replied { number, clock_ms, reply } => {
-                let Some(sent) = self.asked.remove(&number) else { return };
-                self.leader_clock.learn(sent.leader, sent.term, clock_ms, now());
-                let waiter = Waiter::Here { sender: sent.reply, asked_at: sent.asked_at };
+            DriverCommand::Replied {
+                number,
+                clock_ms,
+                reply,
+            } => {
+                let Some(sent) = self.asked.remove(&number) else {
+                    return;
+                };
+                self.leader_clock
+                    .learn(sent.leader, sent.term, clock_ms, now());
+                let waiter = Waiter::Here {
+                    sender: sent.reply,
+                    asked_at: sent.asked_at,
+                };
                 match reply {
                     PeerResponse::Confirmed { index, shares } => {
                         self.confirms.push((index, waiter, shares));
@@ -235,14 +250,18 @@
                         self.step(Input::Bootstrap(self.me.clone(), rand::random::<u64>() | 1));
                         Ok(())
                     }
-                    cluster => Err(format!("this node belongs to cluster {cluster:016x} already")),
+                    cluster => Err(format!(
+                        "this node belongs to cluster {cluster:016x} already"
+                    )),
                 };
                 drop(reply.send(answer));
             }
             DriverCommand::Attach(session) => {
                 let state = self.state.read();
-                let picture =
-                    Frame::Picture { epoch: state.epoch(), events: state.view.snapshot() };
+                let picture = Frame::Picture {
+                    epoch: state.epoch(),
+                    events: state.view.snapshot(),
+                };
                 drop(state);
                 if session.try_send(picture).is_ok() {
                     self.sessions.push(session);
@@ -362,13 +381,21 @@
     }
 
     fn announce(&mut self, prior: u64, epoch: u64, events: Vec<Event>) {
-        let frame = Frame::Change { prior, epoch, events };
+        let frame = Frame::Change {
+            prior,
+            epoch,
+            events,
+        };
         // A session that can't keep up is let go; it comes again for a picture.
-        self.sessions.retain(|session| session.try_send(frame.clone()).is_ok());
+        self.sessions
+            .retain(|session| session.try_send(frame.clone()).is_ok());
     }
 
     fn take_due_snapshot(&mut self) {
-        let policy = SnapshotPolicy { entries: self.snapshot_every, bytes: LOG_BYTES };
+        let policy = SnapshotPolicy {
+            entries: self.snapshot_every,
+            bytes: LOG_BYTES,
+        };
         if self.node.is_snapshot_due(policy) {
             let state = self.state.read().snapshot();
             let index = self.node.applied();
--- a/directory/src/driver/thread/requests.rs
+++ b/directory/src/driver/thread/requests.rs
@@ -5,16 +5,20 @@
 use crate::forwarding::is_valid;
 use consensus::node::{Input, Role};
 use consensus::pack::packed;
+use protocol::{Frame, FrontDemand, FrontShares, PeerRequest, PeerResponse};
 use residency::Outcome;
 use std::sync::atomic::Ordering;
 use tokio::sync::oneshot;
-use protocol::{Frame, FrontDemand, FrontShares, PeerRequest, PeerResponse};
 use transport::now;
 
 impl DriverThread {
     /// A question from this process: answered here by the leader, else there.
     pub(super) fn ask(&mut self, asked: Asked, sender: oneshot::Sender<PeerResponse>) {
-        let Asked { question, until, only_term } = asked;
+        let Asked {
+            question,
+            until,
+            only_term,
+        } = asked;
         let is_leader = self.node.role() == Role::Leader;
         let (term, asked_at) = (self.node.term(), now());
         let waiter = Waiter::Here { sender, asked_at };
@@ -28,23 +32,45 @@
         if is_leader {
             return self.lead(question, waiter);
         }
-        let leader = self.node.leader().and_then(|id| self.node.members().get(id)).cloned();
+        let leader = self
+            .node
+            .leader()
+            .and_then(|id| self.node.members().get(id))
+            .cloned();
         let Some(leader) = leader else {
             return self.deliver(waiter, PeerResponse::NotLeader);
         };
-        let Waiter::Here { sender, .. } = waiter else { return };
+        let Waiter::Here { sender, .. } = waiter else {
+            return;
+        };
         let number = self.number();
         let validity = self.leader_clock.validity(leader.identity, term, until);
-        let sent = Sent { leader: leader.identity, term, asked_at, until, reply: sender };
+        let sent = Sent {
+            leader: leader.identity,
+            term,
+            asked_at,
+            until,
+            reply: sender,
+        };
         self.asked.insert(number, sent);
-        let frame = Frame::Ask { from: self.me.identity, number, validity, question };
+        let frame = Frame::Ask {
+            from: self.me.identity,
+            number,
+            validity,
+            question,
+        };
         self.peers.send(&leader.address, frame);
     }
 
     /// A question from another node. What is late is not acted on; whoever still
     /// waits asks anew.
     pub(super) fn asked_by(&mut self, forwarded: Forwarded) {
-        let Forwarded { from, number, validity, question } = forwarded;
+        let Forwarded {
+            from,
+            number,
+            validity,
+            question,
+        } = forwarded;
         let waiter = Waiter::There(from, number);
         let is_leader = self.node.role() == Role::Leader;
         match is_leader && is_valid(&question, validity, self.node.term(), now()) {
@@ -95,9 +121,17 @@
     pub(super) fn grant(&mut self, demands: &[FrontDemand]) -> Vec<FrontShares> {
         self.renew_grants();
         let state = self.state.read();
-        let terms =
-            |tenant: &str| state.view.tenants.get(tenant).map(|terms| (terms.pace, terms.burst));
-        let routers = self.routers.load(Ordering::Relaxed).max(state.view.fleet as usize);
+        let terms = |tenant: &str| {
+            state
+                .view
+                .tenants
+                .get(tenant)
+                .map(|terms| (terms.pace, terms.burst))
+        };
+        let routers = self
+            .routers
+            .load(Ordering::Relaxed)
+            .max(state.view.fleet as usize);
         let answer = |demand| match &mut self.grants {
             Grants::Paces(paces) => paces.answer(now(), demand, terms),
             Grants::Pools(pools) => pools.answer(now(), demand, routers, terms),
@@ -110,7 +144,14 @@
             // Who asked may have left; then nobody needs the answer.
             Waiter::Here { sender, .. } => drop(sender.send(reply)),
             Waiter::There(to, number) => {
-                self.peers.send_to(to, Frame::PeerResponse { number, clock_ms: now(), reply });
+                self.peers.send_to(
+                    to,
+                    Frame::PeerResponse {
+                        number,
+                        clock_ms: now(),
+                        reply,
+                    },
+                );
             }
         }
     }
@@ -141,8 +182,12 @@
 
     pub(super) fn expire(&mut self) {
         let now = now();
-        let late: Vec<u64> =
-            self.asked.iter().filter(|(_, sent)| sent.until <= now).map(|(n, _)| *n).collect();
+        let late: Vec<u64> = self
+            .asked
+            .iter()
+            .filter(|(_, sent)| sent.until <= now)
+            .map(|(n, _)| *n)
+            .collect();
         for number in late {
             if let Some(sent) = self.asked.remove(&number) {
                 drop(sent.reply.send(PeerResponse::Lost));
--- a/directory/src/driver/thread/status.rs
+++ b/directory/src/driver/thread/status.rs
@@ -11,7 +11,11 @@
         let names: Vec<&str> = members.iter().map(|member| member.name.as_str()).collect();
         names.join(", ")
     };
-    format!("voters: {}; learners: {}", names(&members.voters), names(&members.learners))
+    format!(
+        "voters: {}; learners: {}",
+        names(&members.voters),
+        names(&members.learners)
+    )
 }
 
 impl DriverThread {
@@ -24,7 +28,9 @@
         let learners = self.node.health_of(&members.learners);
         let health = voters.iter().chain(&learners);
         MembershipReport {
-            silent_ms: health.map(|known| (known.member.identity, known.silent_ms)).collect(),
+            silent_ms: health
+                .map(|known| (known.member.identity, known.silent_ms))
+                .collect(),
             is_changing: !self.node.is_settled(),
             repair: match self.node.next_change() {
                 Ok(change) => format!("{change:?}"),
--- a/directory/src/engine_discovery.rs
+++ b/directory/src/engine_discovery.rs
@@ -59,11 +59,18 @@
 pub(crate) async fn count(control: Arc<ControlPlane>) {
     let mut cluster_status = control.driver.cluster_status.clone();
     let mut fewer_since = None;
-    while cluster_status.wait_for(|cluster_status| cluster_status.is_leader).await.is_ok() {
+    while cluster_status
+        .wait_for(|cluster_status| cluster_status.is_leader)
+        .await
+        .is_ok()
+    {
         tokio::time::sleep(transport::jitter(900)).await;
         // Based on the count that it differs from.
         let base = control.base();
-        let (seen, known) = (control.fronts.lock().count() as u32, control.look(|s| s.view.fleet));
+        let (seen, known) = (
+            control.fronts.lock().count() as u32,
+            control.look(|s| s.view.fleet),
+        );
         if seen >= known {
             fewer_since = None;
         }
@@ -71,7 +78,11 @@
         let is_news = seen > known || seen < known && transport::now() > since + FEWER_MS;
         if let Some(term) = control.leads_in().filter(|_| is_news) {
             let id = format!("fleet-{:016x}", rand::random::<u64>());
-            let proposal = Proposal { id, base, command: Command::Fleet(seen) };
+            let proposal = Proposal {
+                id,
+                base,
+                command: Command::Fleet(seen),
+            };
             control.submit_as_leader(proposal, term, SUBMIT).await;
         }
     }
@@ -79,8 +90,14 @@
 
 pub(crate) async fn run(control: Arc<ControlPlane>, listing: EngineDiscovery) {
     let mut cluster_status = control.driver.cluster_status.clone();
-    while cluster_status.wait_for(|cluster_status| cluster_status.is_leader).await.is_ok() {
-        let Some(term) = control.leads_in() else { continue };
+    while cluster_status
+        .wait_for(|cluster_status| cluster_status.is_leader)
+        .await
+        .is_ok()
+    {
+        let Some(term) = control.leads_in() else {
+            continue;
+        };
         if let Err(error) = take(&control, &listing, term).await {
             log::warn!("the list of engines: {error:#}");
         }
@@ -102,7 +119,9 @@
     }
     let (at, base) = (transport::now(), control.base());
     let listed = tokio::time::timeout(patience, (listing.ask)()).await??;
-    let Some(command) = control.look(|state| news(&state.view, listed)) else { return Ok(()) };
+    let Some(command) = control.look(|state| news(&state.view, listed)) else {
+        return Ok(());
+    };
     if transport::now() > at + STALE_MS {
         anyhow::bail!("it came too late to be of use");
     }
--- a/directory/src/forwarding.rs
+++ b/directory/src/forwarding.rs
@@ -33,7 +33,13 @@
             Some(known) if known.leader == leader && known.term == term => {
                 known.ahead_ms = known.ahead_ms.max(ahead_ms);
             }
-            known => *known = Some(Offset { leader, term, ahead_ms }),
+            known => {
+                *known = Some(Offset {
+                    leader,
+                    term,
+                    ahead_ms,
+                })
+            }
         }
     }
 
--- a/directory/src/jobs.rs
+++ b/directory/src/jobs.rs
@@ -6,8 +6,9 @@
 use anyhow::{anyhow, bail};
 use bytes::Bytes;
 use http_body_util::BodyExt;
-use policy::{Extract, Field, Head, Prompt};
 use placement::{Event, Job, Outcome};
+use policy::{Extract, Field, Head, Prompt};
+use protocol::{Frame, JobHead};
 use residency::Mapping;
 use std::pin::pin;
 use std::sync::Arc;
@@ -15,7 +16,6 @@
 use tokio::io::AsyncRead;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use protocol::{Frame, JobHead};
 use transport::dispatch::{headers_of, headers_to, step, Carried, Parts, Piped};
 use transport::web::{self, Refusal};
 use transport::{link, now};
@@ -43,23 +43,45 @@
     }
     link::send(&mut writer, &Frame::Welcome).await?;
     let first = tokio::time::timeout(link::PATIENCE, link::receive(&mut reader, 1 << 20)).await??;
-    let Some(Frame::Job(head)) = first else { bail!("a job's connection begins with the job") };
+    let Some(Frame::Job(head)) = first else {
+        bail!("a job's connection begins with the job")
+    };
     control.counters.one("jobs-forwarded");
     log::info!(job = head.id.as_str(); "its body is here");
-    let read =
-        tokio::time::timeout(Duration::from_secs(10), read_key(&control, &head, &mut reader));
+    let read = tokio::time::timeout(
+        Duration::from_secs(10),
+        read_key(&control, &head, &mut reader),
+    );
     let found = match read.await {
         Ok(found) => found?,
-        Err(_) => Err(Refusal::not_run(408, "slow-body", "the body came too slowly")),
+        Err(_) => Err(Refusal::not_run(
+            408,
+            "slow-body",
+            "the body came too slowly",
+        )),
     };
-    let Found { mapping, extract, key, held, is_ended, route } = match found {
+    let Found {
+        mapping,
+        extract,
+        key,
+        held,
+        is_ended,
+        route,
+    } = match found {
         Ok(found) => found,
         Err(refusal) => return link::send(&mut writer, &declined(&refusal)).await,
     };
     if head.is_charged == 0 {
         let view = control.driver.view.borrow().clone();
-        let terms = view.tenants.get(&mapping.tenant).map_or((0, 0), |t| (t.pace, t.burst));
-        if let Err(refusal) = control.quota.admit(&mapping.tenant, terms, 0, QUOTA_PATIENCE).await {
+        let terms = view
+            .tenants
+            .get(&mapping.tenant)
+            .map_or((0, 0), |t| (t.pace, t.burst));
+        if let Err(refusal) = control
+            .quota
+            .admit(&mapping.tenant, terms, 0, QUOTA_PATIENCE)
+            .await
+        {
             control.counters.one("refused-quota");
             return link::send(&mut writer, &declined(&refusal)).await;
         }
@@ -75,8 +97,14 @@
         let refusal = Refusal::not_run(503, "directory-full", "take the job to an engine yourself");
         return link::send(&mut writer, &declined(&refusal)).await;
     };
-    let is_repeatable =
-        control.driver.view.borrow().program.routes.get(route).is_some_and(|r| r.repeatable);
+    let is_repeatable = control
+        .driver
+        .view
+        .borrow()
+        .program
+        .routes
+        .get(route)
+        .is_some_and(|r| r.repeatable);
     let mut job = Job::new(is_repeatable);
     step(&mut job, Event::KeyRead);
     step(&mut job, Event::MappingFound);
@@ -100,7 +128,9 @@
     let mut upload = pin!(upload(&mut reader, pieces, is_ended));
     let answer = {
         let mut work =
-            pin!(control.dispatcher.dispatch(&mut job, &parts, &mut carried, &mapping, prefix));
+            pin!(control
+                .dispatcher
+                .dispatch(&mut job, &parts, &mut carried, &mapping, prefix));
         tokio::select! {
             answer = &mut work => answer,
             gone = &mut upload => {
@@ -113,8 +143,10 @@
         Ok(answer) => answer,
         Err(refusal) => return link::send(&mut writer, &declined(&refusal)).await,
     };
-    let head =
-        Frame::AnswerHead { status: answer.status.as_u16(), headers: headers_to(&answer.headers) };
+    let head = Frame::AnswerHead {
+        status: answer.status.as_u16(),
+        headers: headers_to(&answer.headers),
+    };
     link::send(&mut writer, &head).await?;
     let mut body = answer.body;
     loop {
@@ -204,7 +236,13 @@
         let (path, query) = head.target.split_once('?').unwrap_or((&head.target, ""));
         let header = |name: &str| headers.get(name)?.to_str().ok().map(String::from);
         let draw = policy::mark(head.id.as_bytes());
-        ask(&Head { method: &head.method, path, query, header: &header, draw });
+        ask(&Head {
+            method: &head.method,
+            path,
+            query,
+            header: &header,
+            draw,
+        });
     };
     let mut route = None;
     with_head(&mut |head| route = view.program.route(head));
@@ -226,7 +264,10 @@
         }
         let mut extract = None;
         with_head(&mut |head| {
-            extract = Some(view.program.extract(route, head, &held, is_ended, SEARCH_CAP));
+            extract = Some(
+                view.program
+                    .extract(route, head, &held, is_ended, SEARCH_CAP),
+            );
         });
         match extract {
             Some(extract) if is_ended || held.len() >= SEARCH_CAP || extract.is_settled() => {
@@ -251,7 +292,14 @@
         return Ok(Err(cut_off()));
     };
     Ok(match resolved {
-        Ok(mapping) => Ok(Found { mapping, extract, key, held: held.into(), is_ended, route }),
+        Ok(mapping) => Ok(Found {
+            mapping,
+            extract,
+            key,
+            held: held.into(),
+            is_ended,
+            route,
+        }),
         Err((code, text)) => Err(web::no_place(code, text)),
     })
 }
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -22,13 +22,13 @@
 use consensus::wal::{Folder, WriteAheadLog};
 use consensus::Member;
 use parking_lot::{Mutex, RwLock};
+use protocol::{Frame, Front, PeerRequest, PeerResponse};
 use residency::{ConfigDocument, State, View};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-use protocol::{Frame, Front, PeerRequest, PeerResponse};
 use transport::counters::Counters;
 use transport::dispatch::Dispatcher;
 use transport::quota::Quota;
@@ -122,7 +122,12 @@
     /// Has a majority confirm that what counts is known here. True only once
     /// all that counted when this was asked is applied at this node.
     pub async fn confirm(&self) -> bool {
-        let reply = self.driver.ask(PeerRequest::Confirm { demands: Vec::new() }).await;
+        let reply = self
+            .driver
+            .ask(PeerRequest::Confirm {
+                demands: Vec::new(),
+            })
+            .await;
         matches!(reply, PeerResponse::Confirmed { .. })
     }
 
@@ -214,7 +219,8 @@
     let data = folder.display();
     std::fs::create_dir_all(folder).with_context(|| format!("data folder {data}"))?;
     let lock = std::fs::File::create(folder.join("lock"))?;
-    lock.try_lock().with_context(|| format!("{data} is in use by another process"))?;
+    lock.try_lock()
+        .with_context(|| format!("{data} is in use by another process"))?;
     let identity = identity(folder)?;
     let log = folder.join("log");
     let (segments, kept) = WriteAheadLog::open(Folder::open(&log)?).map_err(|error| {
@@ -243,7 +249,12 @@
     kept: consensus::node::PersistedState,
     founds: bool,
 ) -> anyhow::Result<()> {
-    let Settings { listen, jobs, address, .. } = settings;
+    let Settings {
+        listen,
+        jobs,
+        address,
+        ..
+    } = settings;
     let member = Member {
         identity,
         name: settings.name,
@@ -309,7 +320,11 @@
     let mut servers = vec![operator_api::serve(Arc::clone(&control), settings.desk)?];
     for front in ports.fronts {
         let handler = (front.handler)(Arc::clone(&control));
-        servers.push(transport::web::serve(front.address, front.body_cap, handler)?);
+        servers.push(transport::web::serve(
+            front.address,
+            front.body_cap,
+            handler,
+        )?);
     }
     tokio::spawn(peers::accept(Arc::clone(&control), listener));
     if founds {
@@ -321,7 +336,9 @@
     // The peers are there before the first sounding needs them.
     for member in control.driver.cluster_status.borrow().members.all() {
         if member.identity != control.member.identity {
-            control.peers.send(&member.address, Frame::Introduce(control.member.clone()));
+            control
+                .peers
+                .send(&member.address, Frame::Introduce(control.member.clone()));
         }
     }
     tokio::spawn(peers::join(Arc::clone(&control)));
@@ -337,7 +354,10 @@
     log::info!(identity = format!("{identity:016x}"); "directory node is up at {address}");
     transport::wait_for_end().await?;
     log::info!("stopping");
-    control.driver.prepare_to_stop(identity, settings.leave_patience).await;
+    control
+        .driver
+        .prepare_to_stop(identity, settings.leave_patience)
+        .await;
     // Jobs that are being relayed get a bounded time to finish.
     let until = tokio::time::Instant::now() + Duration::from_secs(20);
     while control.job_places.available_permits() < jobs && tokio::time::Instant::now() < until {
--- a/directory/src/main.rs
+++ b/directory/src/main.rs
@@ -6,24 +6,64 @@
 use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
-    setting("name", "NAME", "this node's name, unique in the cluster", None),
+    setting(
+        "name",
+        "NAME",
+        "this node's name, unique in the cluster",
+        None,
+    ),
     setting("region", "NAME", "the region it stands in", None),
     setting("zone", "NAME", "the zone it stands in", None),
-    setting("address", "IP:PORT", "where its own kind and the routers reach it", None),
-    setting("listen", "IP:PORT", "where it listens, if others reach it elsewhere", Some("")),
+    setting(
+        "address",
+        "IP:PORT",
+        "where its own kind and the routers reach it",
+        None,
+    ),
+    setting(
+        "listen",
+        "IP:PORT",
+        "where it listens, if others reach it elsewhere",
+        Some(""),
+    ),
     setting("desk", "IP:PORT", "where operators reach it", None),
     setting("data", "FOLDER", "its data folder, its own alone", None),
-    setting("seeds", "IP:PORT,...", "addresses of other directory nodes", None),
-    setting("voters", "COUNT", "how many voters a leader strives for", Some("5")),
+    setting(
+        "seeds",
+        "IP:PORT,...",
+        "addresses of other directory nodes",
+        None,
+    ),
+    setting(
+        "voters",
+        "COUNT",
+        "how many voters a leader strives for",
+        Some("5"),
+    ),
     setting(
         "jobs",
         "COUNT",
         "forwarded jobs at a time, at the most; 0: mappings alone",
         Some("64"),
     ),
-    setting("bytes", "COUNT", "bytes of forwarded bodies held at a time", Some("16777216")),
-    setting("snapshot-every", "COUNT", "entries between two snapshots", Some("1024")),
-    setting("level", "LEVEL", "log level: error, warn, info, debug", Some("info")),
+    setting(
+        "bytes",
+        "COUNT",
+        "bytes of forwarded bodies held at a time",
+        Some("16777216"),
+    ),
+    setting(
+        "snapshot-every",
+        "COUNT",
+        "entries between two snapshots",
+        Some("1024"),
+    ),
+    setting(
+        "level",
+        "LEVEL",
+        "log level: error, warn, info, debug",
+        Some("info"),
+    ),
 ];
 
 fn main() {
@@ -43,7 +83,10 @@
         desk,
         data: boot.text("data").into(),
         seeds: boot.addresses("seeds"),
-        timing: Timing { voters: boot.count("voters", 1, 9) as usize, ..Timing::default() },
+        timing: Timing {
+            voters: boot.count("voters", 1, 9) as usize,
+            ..Timing::default()
+        },
         jobs: boot.count("jobs", 0, 100_000) as usize,
         bytes: boot.count("bytes", 1 << 20, 1 << 31) as usize,
         snapshot_every: boot.count("snapshot-every", 16, 1 << 20),
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -2,6 +2,7 @@
 
 use crate::driver::{ClusterStatus, MembershipReport};
 use crate::ControlPlane;
+use protocol::{PeerRequest, PeerResponse};
 use residency::{
     Command, DrainTarget, Engine, EngineState, Name, Outcome, Place, Proposal, Window,
 };
@@ -10,7 +11,6 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use protocol::{PeerRequest, PeerResponse};
 use transport::web::{self, Request, Response};
 
 type Server = dropshot::HttpServer<web::Handler>;
@@ -46,7 +46,11 @@
         ("POST", "/found") => found(control).await,
         ("POST", "/retire") => retire(control, request).await,
         ("POST", "/submit") => submit(control, request).await,
-        _ => refused(404, "no-such-page", format!("there is no {path} for this method")),
+        _ => refused(
+            404,
+            "no-such-page",
+            format!("there is no {path} for this method"),
+        ),
     }
 }
 
@@ -71,8 +75,14 @@
 
 fn members(cluster_status: &ClusterStatus, report: &MembershipReport) -> OwnedValue {
     let describe = |member: &consensus::Member, kind: &str| {
-        let silent = report.silent_ms.iter().find(|(id, _)| *id == member.identity);
-        let synced = cluster_status.progress.iter().find(|(id, _)| *id == member.identity);
+        let silent = report
+            .silent_ms
+            .iter()
+            .find(|(id, _)| *id == member.identity);
+        let synced = cluster_status
+            .progress
+            .iter()
+            .find(|(id, _)| *id == member.identity);
         json!({
             "name": member.name.clone(),
             "identity": hex(member.identity),
@@ -86,8 +96,16 @@
             "silent_ms": silent.map(|(_, silent_ms)| *silent_ms),
         })
     };
-    let voters = cluster_status.members.voters.iter().map(|member| describe(member, "voter"));
-    let learners = cluster_status.members.learners.iter().map(|member| describe(member, "learner"));
+    let voters = cluster_status
+        .members
+        .voters
+        .iter()
+        .map(|member| describe(member, "voter"));
+    let learners = cluster_status
+        .members
+        .learners
+        .iter()
+        .map(|member| describe(member, "learner"));
     OwnedValue::from(voters.chain(learners).collect::<Vec<_>>())
 }
 
@@ -186,23 +204,39 @@
         return refused(400, "bad-question", "tenant and service are needed");
     };
     let region = field("region").unwrap_or(control.member.region.clone());
-    let prefix = field("prefix").and_then(|text| text.parse().ok()).unwrap_or(0);
-    let resolved = control.driver.state.read().resolve(&tenant, &service, &region);
+    let prefix = field("prefix")
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0);
+    let resolved = control
+        .driver
+        .state
+        .read()
+        .resolve(&tenant, &service, &region);
     let mapping = match resolved {
         Ok(mapping) => mapping,
         Err((code, text)) => return refused(404, code, text),
     };
     let view = control.driver.view.borrow().clone();
     let prompt = policy::Prompt::default();
-    let wanted = placement::Wanted { prompt: &prompt, prefix, avoid: &[] };
+    let wanted = placement::Wanted {
+        prompt: &prompt,
+        prefix,
+        avoid: &[],
+    };
     let (engine, why) = match control.dispatcher.roster.elect(&view, &mapping, &wanted) {
-        transport::roster::Elected::Engine(seat) => {
-            (Some(seat.name.clone()), "ranks first for this prefix among those with room")
-        }
+        transport::roster::Elected::Engine(seat) => (
+            Some(seat.name.clone()),
+            "ranks first for this prefix among those with room",
+        ),
         transport::roster::Elected::Full => (None, "all that are allowed are at their limit"),
         transport::roster::Elected::Nobody => (None, "none that is allowed is in sight"),
     };
-    let list = |names: &[Name]| names.iter().map(|name| name.0.clone()).collect::<Vec<String>>();
+    let list = |names: &[Name]| {
+        names
+            .iter()
+            .map(|name| name.0.clone())
+            .collect::<Vec<String>>()
+    };
     let value = json!({
         "tenant": tenant,
         "service": service,
@@ -227,10 +261,17 @@
     let mut cluster_status = control.driver.cluster_status.clone();
     let leads = cluster_status.wait_for(|cluster_status| cluster_status.is_leader);
     let led = tokio::time::timeout(Duration::from_secs(5), leads).await;
-    let cluster = led.ok().and_then(|led| led.ok()).map(|cluster_status| cluster_status.cluster);
+    let cluster = led
+        .ok()
+        .and_then(|led| led.ok())
+        .map(|cluster_status| cluster_status.cluster);
     match cluster {
         Some(cluster) => web::json(200, &json!({ "cluster": hex(cluster) })),
-        None => refused(503, "not-yet", "founded, and not leading yet; ask for the status"),
+        None => refused(
+            503,
+            "not-yet",
+            "founded, and not leading yet; ask for the status",
+        ),
     }
 }
 
@@ -242,10 +283,16 @@
     match control.driver.ask(PeerRequest::Retire { identity }).await {
         PeerResponse::Changed => web::json(200, &json!({ "retired": hex(identity) })),
         PeerResponse::Unfit(text) => refused(409, "unfit", text.0),
-        PeerResponse::Lost => {
-            refused(503, "unknown", "leadership changed meanwhile; look at the members")
-        }
-        _ => refused(503, "no-leader", "no leader can be reached; nothing was changed"),
+        PeerResponse::Lost => refused(
+            503,
+            "unknown",
+            "leadership changed meanwhile; look at the members",
+        ),
+        _ => refused(
+            503,
+            "no-leader",
+            "no leader can be reached; nothing was changed",
+        ),
     }
 }
 
@@ -256,15 +303,26 @@
         let text = |name: &str| window.get(name).and_then(|v| v.as_str()).map(Name::from);
         let time = |name: &str| {
             let found = window.get(name).and_then(|v| v.as_u64());
-            found.ok_or(format!("windows[{at}].{name}: seconds since 1970 should stand here"))
+            found.ok_or(format!(
+                "windows[{at}].{name}: seconds since 1970 should stand here"
+            ))
         };
         let what = match (text("zone"), text("engine")) {
             (Some(zone), None) => DrainTarget::Zone(zone),
             (None, Some(engine)) => DrainTarget::Engine(engine),
-            _ => return Err(format!("windows[{at}]: a zone or an engine should stand here")),
+            _ => {
+                return Err(format!(
+                    "windows[{at}]: a zone or an engine should stand here"
+                ))
+            }
         };
         let id = text("id").ok_or(format!("windows[{at}].id: a text should stand here"))?;
-        Ok(Window { id, what, from: time("from")?, until: time("until")? })
+        Ok(Window {
+            id,
+            what,
+            from: time("from")?,
+            until: time("until")?,
+        })
     };
     list.iter().enumerate().map(read).collect()
 }
@@ -284,8 +342,13 @@
         "id", "base", "do", "whole", "book", "key", "tenant", "name", "address", "cell",
         "services", "slots", "state", "zone", "service", "windows",
     ];
-    let Some(object) = value.as_object() else { return Err("an object should stand here".into()) };
-    if let Some((field, _)) = object.iter().find(|(field, _)| !known.contains(&field.as_str())) {
+    let Some(object) = value.as_object() else {
+        return Err("an object should stand here".into());
+    };
+    if let Some((field, _)) = object
+        .iter()
+        .find(|(field, _)| !known.contains(&field.as_str()))
+    {
         return Err(format!("{field}: no such field is known here"));
     }
     let digest = || {
@@ -299,7 +362,9 @@
         "coming" => Ok(EngineState::Coming),
         "serving" => Ok(EngineState::Serving),
         "draining" => Ok(EngineState::Draining),
-        other => Err(format!("state: {other} is none of coming, serving, draining")),
+        other => Err(format!(
+            "state: {other} is none of coming, serving, draining"
+        )),
     };
     let command = match text("do")?.as_str() {
         "revise" => Command::Revise {
@@ -309,12 +374,20 @@
                 .ok_or("whole: true or false should stand here")?,
             text: value.get("book").ok_or("book: it is missing")?.encode(),
         },
-        "key" => Command::Key(Place { name: digest()?, within: text("tenant")? }),
+        "key" => Command::Key(Place {
+            name: digest()?,
+            within: text("tenant")?,
+        }),
         "key-gone" => Command::KeyGone(Name(digest()?)),
         "engine" => {
-            let services = value.get("services").and_then(|v| v.as_array()).map(|list| {
-                list.iter().map(|item| item.as_str().map(Name::from)).collect::<Option<Vec<Name>>>()
-            });
+            let services = value
+                .get("services")
+                .and_then(|v| v.as_array())
+                .map(|list| {
+                    list.iter()
+                        .map(|item| item.as_str().map(Name::from))
+                        .collect::<Option<Vec<Name>>>()
+                });
             Command::Engine(Engine {
                 name: text("name")?,
                 address: text("address")?,
@@ -330,7 +403,10 @@
                 cold_ms: 0,
             })
         }
-        "engine-state" => Command::EngineState { name: name("name")?, state: state()? },
+        "engine-state" => Command::EngineState {
+            name: name("name")?,
+            state: state()?,
+        },
         "engine-gone" => Command::EngineGone(name("name")?),
         "evacuate" => Command::Evacuate(name("zone")?),
         "give-back" => Command::GiveBack(name("zone")?),
@@ -339,8 +415,14 @@
             service: name("service")?,
             cell: name("cell")?,
         },
-        "settle" => Command::Settle { tenant: name("tenant")?, service: name("service")? },
-        "unpin" => Command::Unpin { tenant: name("tenant")?, service: name("service")? },
+        "settle" => Command::Settle {
+            tenant: name("tenant")?,
+            service: name("service")?,
+        },
+        "unpin" => Command::Unpin {
+            tenant: name("tenant")?,
+            service: name("service")?,
+        },
         "schedule" => Command::Schedule(read_windows(value)?),
         other => return Err(format!("do: {other} is nothing that can be done")),
     };
@@ -366,7 +448,11 @@
     };
     let id = proposal.id.clone();
     let reply = match proposal.base {
-        0 => control.order(proposal.id, proposal.command, PATIENCE, PATIENCE).await,
+        0 => {
+            control
+                .order(proposal.id, proposal.command, PATIENCE, PATIENCE)
+                .await
+        }
         _ => control.submit(proposal, PATIENCE).await,
     };
     if let PeerResponse::Submitted(outcome) = &reply {
--- a/directory/src/orders.rs
+++ b/directory/src/orders.rs
@@ -7,9 +7,9 @@
 
 use crate::ControlPlane;
 use consensus::Term;
+use protocol::PeerResponse;
 use residency::{Command, Outcome, Proposal};
 use std::time::Duration;
-use protocol::PeerResponse;
 
 /// The base of a change that is built on nothing: index 1 founds the cluster.
 const FOUNDED: u64 = 1;
@@ -27,14 +27,20 @@
         patience: Duration,
     ) -> PeerResponse {
         let now = transport::now();
-        let (until, contact_until) =
-            (now + patience.as_millis() as u64, now + contact.as_millis() as u64);
+        let (until, contact_until) = (
+            now + patience.as_millis() as u64,
+            now + contact.as_millis() as u64,
+        );
         if !self.confirm_within(contact).await {
             return PeerResponse::NotLeader;
         }
         loop {
             let base = self.base();
-            let proposal = Proposal { id: id.clone(), base, command: command.clone() };
+            let proposal = Proposal {
+                id: id.clone(),
+                base,
+                command: command.clone(),
+            };
             match self.driver.submit(proposal, until).await {
                 PeerResponse::Submitted(Outcome::Conflict { .. }) => {}
                 reply => return reply,
@@ -51,7 +57,9 @@
     /// Submits a change that states what it was built on, until its outcome is known
     /// or patience ends.
     pub async fn submit(&self, proposal: Proposal, patience: Duration) -> PeerResponse {
-        self.driver.submit(proposal, transport::now() + patience.as_millis() as u64).await
+        self.driver
+            .submit(proposal, transport::now() + patience.as_millis() as u64)
+            .await
     }
 
     /// Submits what this node found due as the leader of a term, until the outcome is
--- a/directory/src/peers.rs
+++ b/directory/src/peers.rs
@@ -6,6 +6,7 @@
 use consensus::pack::unpacked;
 use consensus::{Body, EntryPayload, Member, NodeId};
 use parking_lot::Mutex;
+use protocol::{Frame, Kind, PeerRequest, PeerResponse};
 use residency::{Proposal, State};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,7 +15,6 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
-use protocol::{Frame, Kind, PeerRequest, PeerResponse};
 use transport::{link, now};
 
 const QUEUE: usize = 1024;
@@ -64,7 +64,8 @@
         let mut out = self.out.lock();
         let sender = out.entry(address.to_string()).or_insert_with(|| {
             let (sender, receiver) = mpsc::channel(QUEUE);
-            self.runtime.spawn(Arc::clone(self).carry(address.to_string(), receiver));
+            self.runtime
+                .spawn(Arc::clone(self).carry(address.to_string(), receiver));
             sender
         });
         // A full queue drops the frame, as a slow network would.
@@ -88,7 +89,9 @@
             Frame::PeerResponse { .. } => None,
             _ => return Ok(Some(frame)),
         };
-        let Some(peer) = peer else { anyhow::bail!("it did not say who it is") };
+        let Some(peer) = peer else {
+            anyhow::bail!("it did not say who it is")
+        };
         let is_itself = speaker.is_none_or(|speaker| speaker == peer.identity);
         anyhow::ensure!(is_itself, "{peer} speaks for another node");
         if let Frame::Consensus(message) = &frame {
@@ -207,15 +210,26 @@
     let mut may_be_late = false;
     while let Some(frame) = link::receive(&mut stream, protocol::CAP).await? {
         may_be_late |= now() - std::mem::replace(&mut heard_at, now()) >= subscriptions::SILENCE_MS;
-        let Some(frame) = control.peers.admit(&mut peer, frame)? else { continue };
+        let Some(frame) = control.peers.admit(&mut peer, frame)? else {
+            continue;
+        };
         match frame {
             Frame::Introduce(member) => {
-                control.peers.known.lock().insert(member.identity, member.address);
+                control
+                    .peers
+                    .known
+                    .lock()
+                    .insert(member.identity, member.address);
             }
             Frame::Consensus(message) => {
                 control.driver.send(DriverCommand::Heard(message));
             }
-            Frame::Ask { from, number, validity, question } => {
+            Frame::Ask {
+                from,
+                number,
+                validity,
+                question,
+            } => {
                 control.driver.send(DriverCommand::AskedBy(Forwarded {
                     from,
                     number,
@@ -223,8 +237,16 @@
                     question,
                 }));
             }
-            Frame::PeerResponse { number, clock_ms, reply } => {
-                control.driver.send(DriverCommand::Replied { number, clock_ms, reply });
+            Frame::PeerResponse {
+                number,
+                clock_ms,
+                reply,
+            } => {
+                control.driver.send(DriverCommand::Replied {
+                    number,
+                    clock_ms,
+                    reply,
+                });
             }
             Frame::Fronts { fronts, .. } => {
                 anyhow::ensure!(!may_be_late, "its reports of routers come late");
@@ -233,7 +255,10 @@
                 }
                 let mut known = control.fronts.lock();
                 let is_other = known.take(fronts, false);
-                control.driver.routers.store(known.count(), Ordering::Relaxed);
+                control
+                    .driver
+                    .routers
+                    .store(known.count(), Ordering::Relaxed);
                 drop(known);
                 if is_other {
                     control.company.send_modify(|count| *count += 1);
@@ -245,8 +270,10 @@
                     PeerResponse::Unfit(text) => text.0.clone(),
                     other => format!("{other:?}"),
                 };
-                let admitted =
-                    matches!(reply, PeerResponse::Confirmed { .. } | PeerResponse::Changed);
+                let admitted = matches!(
+                    reply,
+                    PeerResponse::Confirmed { .. } | PeerResponse::Changed
+                );
                 link::send(&mut stream, &Frame::Joined { admitted, text }).await?;
             }
             other => anyhow::bail!("an unexpected frame from a directory node: {other:?}"),
@@ -284,8 +311,10 @@
 /// ends with the first that lets this node in.
 async fn ask_seeds(control: &Arc<ControlPlane>) {
     let mut asked = tokio::task::JoinSet::new();
-    for seed in
-        control.seeds().into_iter().filter(|seed| seed.to_string() != control.member.address)
+    for seed in control
+        .seeds()
+        .into_iter()
+        .filter(|seed| seed.to_string() != control.member.address)
     {
         let control = Arc::clone(control);
         asked.spawn(async move { (seed, ask_in(&control, seed).await) });
