--- a/directory/src/subscriptions.rs
+++ b/directory/src/subscriptions.rs
@@ -4,13 +4,15 @@
 use crate::ControlPlane;
 use consensus::Member;
 use placement::{is_same, Company};
+use protocol::{
+    Answer, Frame, Front, FrontDemand, FrontShares, PeerRequest, PeerResponse, LEASE_MS,
+};
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use protocol::{Answer, Frame, Front, FrontDemand, FrontShares, PeerRequest, PeerResponse, LEASE_MS};
 use transport::{link, now};
 
 /// A router that was not heard of for this long is not counted as there.
@@ -55,15 +57,19 @@
         let mut is_other = false;
         for front in fronts {
             let heard = at.saturating_sub(front.age_ms);
-            let is_younger =
-                self.known.get(&front.name).is_none_or(|(_, before, _)| *before <= heard);
+            let is_younger = self
+                .known
+                .get(&front.name)
+                .is_none_or(|(_, before, _)| *before <= heard);
             if is_younger && front.age_ms < FRONT_AGE_MS {
                 let before = self.known.get(&front.name);
                 is_other |= before.is_none_or(|(before, _, _)| !is_same(before, &front));
-                self.known.insert(front.name.clone(), (front, heard, is_here));
+                self.known
+                    .insert(front.name.clone(), (front, heard, is_here));
             }
         }
-        self.known.retain(|_, (_, heard, _)| at - *heard < FRONT_AGE_MS);
+        self.known
+            .retain(|_, (_, heard, _)| at - *heard < FRONT_AGE_MS);
         is_other || self.known.len() != count
     }
 
@@ -79,7 +85,10 @@
             .filter(|(_, heard, is_here)| {
                 at.saturating_sub(*heard) < FRONT_AGE_MS && (*is_here || !only_here)
             })
-            .map(|(front, heard, _)| Front { age_ms: at.saturating_sub(*heard), ..front.clone() })
+            .map(|(front, heard, _)| Front {
+                age_ms: at.saturating_sub(*heard),
+                ..front.clone()
+            })
             .collect();
         list.sort_by(|a, b| a.name.cmp(&b.name));
         list
@@ -112,8 +121,14 @@
         while let Some(out) = company.upgrade() {
             // Looked at before the lists: what changes after that is news the next time.
             let seen = *changes.borrow_and_update();
-            let members: Vec<Member> =
-                teller.driver.cluster_status.borrow().members.all().cloned().collect();
+            let members: Vec<Member> = teller
+                .driver
+                .cluster_status
+                .borrow()
+                .members
+                .all()
+                .cloned()
+                .collect();
             let news = match last == Some(seen) && members == told.directories() {
                 true => told.nothing(),
                 false => told.news(teller.fronts.lock().list(false), members),
@@ -140,22 +155,36 @@
         while let Some(frame) = link::receive(&mut reader, 1 << 20).await? {
             let silence = now() - std::mem::replace(&mut heard_at, now());
             anyhow::ensure!(silence < SILENCE_MS, "its frames come {silence} ms late");
-            let Some(out) = way.upgrade() else { anyhow::bail!("it fell behind") };
+            let Some(out) = way.upgrade() else {
+                anyhow::bail!("it fell behind")
+            };
             match frame {
                 Frame::Beat { front, demand } => {
                     let mut fronts = control.fronts.lock();
-                    fronts.beats.push(Beat { out, came: now(), demand });
+                    fronts.beats.push(Beat {
+                        out,
+                        came: now(),
+                        demand,
+                    });
                     // How old a beat is that waited over a standstill can't be told.
                     let may_be_old = control.driver.stood_still();
                     let is_other = !may_be_old && fronts.take(vec![front], true);
-                    control.driver.routers.store(fronts.count(), Ordering::Relaxed);
+                    control
+                        .driver
+                        .routers
+                        .store(fronts.count(), Ordering::Relaxed);
                     drop(fronts);
                     control.beat.notify_one();
                     if is_other {
                         control.company.send_modify(|count| *count += 1);
                     }
                 }
-                Frame::Resolve { number, tenant, service, region } => {
+                Frame::Resolve {
+                    number,
+                    tenant,
+                    service,
+                    region,
+                } => {
                     control.counters.one("resolves");
                     let answer = resolve(&control, &tenant, &service, &region);
                     drop(out.try_send(Frame::Resolved { number, answer }));
@@ -174,7 +203,10 @@
 fn resolve(control: &ControlPlane, tenant: &str, service: &str, region: &str) -> Answer {
     match control.driver.resolve(tenant, service, region) {
         Some(Ok(mapping)) => Answer::Mapping(mapping),
-        Some(Err((code, text))) => Answer::None { code: code.into(), text: text.as_str().into() },
+        Some(Err((code, text))) => Answer::None {
+            code: code.into(),
+            text: text.as_str().into(),
+        },
         None => Answer::Later,
     }
 }
@@ -196,7 +228,9 @@
         }
         last = at;
         number += 1;
-        let own = control.quota.demands(&format!("{:016x}", control.member.identity), number);
+        let own = control
+            .quota
+            .demands(&format!("{:016x}", control.member.identity), number);
         let said = beats.iter().map(|beat| &beat.demand).chain([&own]);
         // Where quotas go by pools a router counts as heard also without a demand.
         let is_told = |demand: &&FrontDemand| control.has_margin || !demand.demands.is_empty();
@@ -207,12 +241,19 @@
                     let is_its = |share: &&FrontShares| {
                         share.front == demand.front && share.number == demand.number
                     };
-                    shares.iter().find(is_its).map_or(Vec::new(), |share| share.shares.clone())
+                    shares
+                        .iter()
+                        .find(is_its)
+                        .map_or(Vec::new(), |share| share.shares.clone())
                 };
                 control.quota.take(number, at + LEASE_MS, &share(&own));
                 for beat in beats {
                     let (number, shares) = (beat.demand.number, share(&beat.demand));
-                    let lease = Frame::Lease { number, epoch: index, shares };
+                    let lease = Frame::Lease {
+                        number,
+                        epoch: index,
+                        shares,
+                    };
                     drop(beat.out.try_send(lease));
                 }
             }
@@ -238,7 +279,9 @@
             for member in members.all() {
                 if member.identity != control.member.identity {
                     let (from, fronts) = (control.member.identity, fronts.clone());
-                    control.peers.send(&member.address, Frame::Fronts { from, fronts });
+                    control
+                        .peers
+                        .send(&member.address, Frame::Fronts { from, fronts });
                 }
             }
         }
--- a/directory/src/windows.rs
+++ b/directory/src/windows.rs
@@ -2,20 +2,28 @@
 //! state makes each turn happen once.
 
 use crate::ControlPlane;
+use protocol::PeerResponse;
 use residency::{Outcome, Proposal};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use protocol::PeerResponse;
 
 const PATIENCE: Duration = Duration::from_secs(2);
 
 pub async fn run(control: Arc<ControlPlane>) {
     let mut cluster_status = control.driver.cluster_status.clone();
-    while cluster_status.wait_for(|cluster_status| cluster_status.is_leader).await.is_ok() {
+    while cluster_status
+        .wait_for(|cluster_status| cluster_status.is_leader)
+        .await
+        .is_ok()
+    {
         tokio::time::sleep(transport::jitter(400)).await;
         // The one place where the wall clock decides something.
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |age| age.as_secs());
-        let Some(term) = control.leads_in() else { continue };
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |age| age.as_secs());
+        let Some(term) = control.leads_in() else {
+            continue;
+        };
         // One at a time: the next is built on what this one makes.
         while let Some((base, command)) = control.look(|state| {
             let next = state.due(now).into_iter().next();
--- a/directory/tests/asked.rs
+++ b/directory/tests/asked.rs
@@ -13,7 +13,10 @@
     asked.sent(0, 1, "a");
     asked.sent(0, 2, "b");
     assert!(!asked.is_answered(10, 1, "b"), "crosswise");
-    assert!(!asked.is_answered(10, 3, "a"), "never asked, or asked by an earlier process");
+    assert!(
+        !asked.is_answered(10, 3, "a"),
+        "never asked, or asked by an earlier process"
+    );
     assert!(asked.is_answered(10, 1, "a"));
     assert!(!asked.is_answered(10, 1, "a"), "a second time");
     assert!(!asked.is_answered(OPEN_MS, 2, "b"), "too late");
--- a/directory/tests/common/mod.rs
+++ b/directory/tests/common/mod.rs
@@ -3,6 +3,7 @@
 
 use consensus::node::Timing;
 use directory::{ControlPlane, Flavour, Ports, Settings};
+use protocol::{Frame, PeerRequest, PeerResponse, Validity};
 use residency::{Command, Outcome};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,7 +14,6 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Mutex};
-use protocol::{Frame, PeerRequest, PeerResponse, Validity};
 use transport::link;
 
 /// Longer than anything here takes on a busy machine.
@@ -43,9 +43,19 @@
     /// Lets it go on, as the cut's end would, with another validity if need be.
     pub async fn release(&self, validity: Validity) {
         let (from, number, question) = (self.from, self.number, self.question.clone());
-        let frame = Frame::Ask { from, number, validity, question };
+        let frame = Frame::Ask {
+            from,
+            number,
+            validity,
+            question,
+        };
         let bytes = protocol::encode(&frame);
-        self.way.lock().await.write_all(&bytes).await.expect("the connection stands");
+        self.way
+            .lock()
+            .await
+            .write_all(&bytes)
+            .await
+            .expect("the connection stands");
     }
 }
 
@@ -68,7 +78,9 @@
     }
 
     async fn connected(self: Arc<Relay>, near: TcpStream, real: SocketAddr) {
-        let Ok(far) = TcpStream::connect(real).await else { return };
+        let Ok(far) = TcpStream::connect(real).await else {
+            return;
+        };
         let (mut near_in, mut near_out) = near.into_split();
         let (mut far_in, far_out) = far.into_split();
         let back = tokio::spawn(async move {
@@ -77,7 +89,10 @@
         let way = Arc::new(Mutex::new(far_out));
         while let Ok(Some(frame)) = link::receive(&mut near_in, protocol::CAP).await {
             let frames = (self.filter.lock())(frame);
-            for frame in frames.into_iter().filter_map(|frame| self.pass(frame, &way)) {
+            for frame in frames
+                .into_iter()
+                .filter_map(|frame| self.pass(frame, &way))
+            {
                 let bytes = protocol::encode(&frame);
                 if way.lock().await.write_all(&bytes).await.is_err() {
                     return;
@@ -90,15 +105,26 @@
 
     fn pass(&self, frame: Frame, way: &Arc<Mutex<OwnedWriteHalf>>) -> Option<Frame> {
         match frame {
-            Frame::Ask { from, number, validity, question: question @ PeerRequest::Submit(_) }
-                if self.is_holding.load(Ordering::SeqCst) =>
-            {
+            Frame::Ask {
+                from,
+                number,
+                validity,
+                question: question @ PeerRequest::Submit(_),
+            } if self.is_holding.load(Ordering::SeqCst) => {
                 let way = Arc::clone(way);
-                let held = Held { from, number, validity, question, way };
+                let held = Held {
+                    from,
+                    number,
+                    validity,
+                    question,
+                    way,
+                };
                 drop(self.held.send(held));
                 None
             }
-            Frame::PeerResponse { number, ref reply, .. } => {
+            Frame::PeerResponse {
+                number, ref reply, ..
+            } => {
                 drop(self.replies.send((number, reply.clone())));
                 Some(frame)
             }
@@ -133,10 +159,17 @@
         let is_holding = AtomicBool::new(false);
         let filter: Filter = Box::new(|frame| vec![frame]);
         let filter = parking_lot::Mutex::new(filter);
-        let relay = Arc::new(Relay { filter, is_holding, held: held_in, replies: replies_in });
+        let relay = Arc::new(Relay {
+            filter,
+            is_holding,
+            held: held_in,
+            replies: replies_in,
+        });
         let mut desks = Vec::new();
         for node in 0..NODES {
-            let listener = TcpListener::bind(at(node, RELAY_PORT)).await.expect("it is free");
+            let listener = TcpListener::bind(at(node, RELAY_PORT))
+                .await
+                .expect("it is free");
             tokio::spawn(Arc::clone(&relay).carry(listener, at(node, LISTEN_PORT)));
             let settings = Settings {
                 name: format!("node-{node}"),
@@ -147,7 +180,10 @@
                 desk: at(node, DESK_PORT),
                 data: folder.join(format!("data-{node}")),
                 seeds: (0..NODES).map(|seed| at(seed, RELAY_PORT)).collect(),
-                timing: Timing { election_timeout_ms: ELECTION_MS, ..Timing::default() },
+                timing: Timing {
+                    election_timeout_ms: ELECTION_MS,
+                    ..Timing::default()
+                },
                 jobs: 0,
                 bytes: 0,
                 snapshot_every: 256,
@@ -159,12 +195,24 @@
             };
             let (begun, has_begun) = tokio::sync::oneshot::channel();
             let begun: directory::Begun = Box::new(move |desk| drop(begun.send(desk)));
-            let ports = Ports { begun: Some(begun), ..Ports::default() };
+            let ports = Ports {
+                begun: Some(begun),
+                ..Ports::default()
+            };
             std::thread::spawn(move || directory::run(settings, ports).expect("it runs"));
             desks.push(has_begun.await.expect("it starts"));
         }
-        let nodes = Nodes { folder, desks, relay, held, replies };
-        let command = Command::Revise { whole: true, text: TOPOLOGY.into() };
+        let nodes = Nodes {
+            folder,
+            desks,
+            relay,
+            held,
+            replies,
+        };
+        let command = Command::Revise {
+            whole: true,
+            text: TOPOLOGY.into(),
+        };
         nodes.must(&nodes.desks[0], "topology", command).await;
         nodes
     }
@@ -205,7 +253,8 @@
 
     pub async fn next_held(&mut self) -> Held {
         let next = tokio::time::timeout(PATIENCE, self.held.recv()).await;
-        next.expect("something is submitted").expect("the relays are there")
+        next.expect("something is submitted")
+            .expect("the relays are there")
     }
 
     /// Those that were held back and not looked at so far.
@@ -223,7 +272,9 @@
                 }
             }
         };
-        tokio::time::timeout(PATIENCE, next).await.expect("the leader answers")
+        tokio::time::timeout(PATIENCE, next)
+            .await
+            .expect("the leader answers")
     }
 
     /// Whether a zone is evacuated, by each node as it is after contact with a
--- a/directory/tests/forwarding.rs
+++ b/directory/tests/forwarding.rs
@@ -1,15 +1,19 @@
 //! Deadlines by another machine's clock.
 
 use directory::forwarding::{is_valid, LeaderClock};
-use residency::{Command, Proposal};
 use protocol::{PeerRequest, Validity};
+use residency::{Command, Proposal};
 
 const LEADER: u64 = 7;
 const TERM: u64 = 3;
 
 fn submit() -> PeerRequest {
     let command = Command::Evacuate("n-a".into());
-    PeerRequest::Submit(Proposal { id: "one".into(), base: 1, command })
+    PeerRequest::Submit(Proposal {
+        id: "one".into(),
+        base: 1,
+        command,
+    })
 }
 
 /// Guards: however far the clocks are apart and however long replies travel, a
@@ -29,9 +33,12 @@
             let until = now + 1_500;
             let quickest = ways.iter().min().expect("one at least");
             let validity = clock.validity(LEADER, TERM, until);
-            for (at, wanted) in
-                [(now, true), (until - quickest - 1, true), (until, false), (until + 20_000, false)]
-            {
+            for (at, wanted) in [
+                (now, true),
+                (until - quickest - 1, true),
+                (until, false),
+                (until + 20_000, false),
+            ] {
                 let found = is_valid(&submit(), validity, TERM, leader_clock(at));
                 assert_eq!(found, wanted, "ahead {ahead}, ways {ways:?}, at {at}");
             }
@@ -54,7 +61,9 @@
 
 #[test]
 fn a_question_counts_in_the_term_it_was_asked_in() {
-    let confirm = PeerRequest::Confirm { demands: Vec::new() };
+    let confirm = PeerRequest::Confirm {
+        demands: Vec::new(),
+    };
     let cases = [
         (submit(), TERM, 101, true),
         (submit(), TERM, 100, false),
@@ -68,6 +77,10 @@
     ];
     for (question, term, deadline_ms, wanted) in cases {
         let validity = Validity { term, deadline_ms };
-        assert_eq!(is_valid(&question, validity, TERM, 100), wanted, "{question:?} {validity:?}");
+        assert_eq!(
+            is_valid(&question, validity, TERM, 100),
+            wanted,
+            "{question:?} {validity:?}"
+        );
     }
 }
--- a/directory/tests/orders.rs
+++ b/directory/tests/orders.rs
@@ -5,10 +5,10 @@
 use common::{Nodes, PATIENCE};
 use consensus::{Body, Message};
 use directory::ControlPlane;
+use protocol::{Frame, PeerRequest, PeerResponse, Validity};
 use residency::{Command, Name, Outcome, Proposal};
 use std::sync::Arc;
 use std::time::Duration;
-use protocol::{Frame, PeerRequest, PeerResponse, Validity};
 
 /// A deadline that no cut is longer than.
 const NEVER_MS: u64 = u64::MAX;
@@ -29,10 +29,11 @@
     let mut nodes = Nodes::start(1).await;
     let (leader, follower) = nodes.roles().await;
     nodes.hold(true);
-    let order =
-        tokio::spawn(
-            async move { follower.order("held".into(), evacuate(), PATIENCE, PATIENCE).await },
-        );
+    let order = tokio::spawn(async move {
+        follower
+            .order("held".into(), evacuate(), PATIENCE, PATIENCE)
+            .await
+    });
     let held = nodes.next_held().await;
     order.abort();
     nodes.hold(false);
@@ -43,17 +44,40 @@
     let Validity { term, deadline_ms } = held.validity;
     assert_eq!(Some(term), leader.leads_in());
     assert!(deadline_ms > 0, "the leader's clock is known by then");
-    held.release(Validity { term, deadline_ms: NEVER_MS }).await;
+    held.release(Validity {
+        term,
+        deadline_ms: NEVER_MS,
+    })
+    .await;
     let reply = nodes.reply_to(held.number).await;
-    assert!(matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })), "{reply:?}");
+    assert!(
+        matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })),
+        "{reply:?}"
+    );
     for validity in [
-        Validity { term: term - 1, deadline_ms: NEVER_MS },
-        Validity { term: term + 1, deadline_ms: NEVER_MS },
-        Validity { term, deadline_ms: 0 },
-        Validity { term, deadline_ms: transport::now() },
+        Validity {
+            term: term - 1,
+            deadline_ms: NEVER_MS,
+        },
+        Validity {
+            term: term + 1,
+            deadline_ms: NEVER_MS,
+        },
+        Validity {
+            term,
+            deadline_ms: 0,
+        },
+        Validity {
+            term,
+            deadline_ms: transport::now(),
+        },
     ] {
         held.release(validity).await;
-        assert_eq!(nodes.reply_to(held.number).await, PeerResponse::NotLeader, "{validity:?}");
+        assert_eq!(
+            nodes.reply_to(held.number).await,
+            PeerResponse::NotLeader,
+            "{validity:?}"
+        );
     }
     assert!(!nodes.is_evacuated("n-a").await);
 }
@@ -67,15 +91,24 @@
     nodes.must(&leader, "first", evacuate()).await;
     nodes.hold(true);
     let order = tokio::spawn(async move {
-        follower.order("held".into(), reinstate(), PATIENCE, PATIENCE).await
+        follower
+            .order("held".into(), reinstate(), PATIENCE, PATIENCE)
+            .await
     });
     let held = nodes.next_held().await;
     order.abort();
     nodes.hold(false);
     nodes.must(&leader, "second", evacuate()).await;
-    held.release(Validity { deadline_ms: NEVER_MS, ..held.validity }).await;
+    held.release(Validity {
+        deadline_ms: NEVER_MS,
+        ..held.validity
+    })
+    .await;
     let reply = nodes.reply_to(held.number).await;
-    assert!(matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })), "{reply:?}");
+    assert!(
+        matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })),
+        "{reply:?}"
+    );
     assert!(nodes.is_evacuated("n-a").await);
 }
 
@@ -86,24 +119,40 @@
     let mut nodes = Nodes::start(3).await;
     let (leader, follower) = nodes.roles().await;
     nodes.hold(true);
-    let order =
-        tokio::spawn(
-            async move { follower.order("held".into(), evacuate(), PATIENCE, PATIENCE).await },
-        );
+    let order = tokio::spawn(async move {
+        follower
+            .order("held".into(), evacuate(), PATIENCE, PATIENCE)
+            .await
+    });
     let held = nodes.next_held().await;
     nodes.must(&leader, "by another way", evacuate()).await;
     nodes.must(&leader, "taken back", reinstate()).await;
     nodes.hold(false);
-    held.release(Validity { deadline_ms: NEVER_MS, ..held.validity }).await;
+    held.release(Validity {
+        deadline_ms: NEVER_MS,
+        ..held.validity
+    })
+    .await;
     let reply = nodes.reply_to(held.number).await;
-    assert!(matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })), "{reply:?}");
+    assert!(
+        matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })),
+        "{reply:?}"
+    );
     let reply = order.await.expect("nobody panics");
-    assert!(matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })), "{reply:?}");
+    assert!(
+        matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })),
+        "{reply:?}"
+    );
     assert!(nodes.is_evacuated("n-a").await);
     // A repeat of it is known, and changes nothing that came after.
     nodes.must(&leader, "taken back again", reinstate()).await;
-    let again = leader.order("held".into(), evacuate(), PATIENCE, PATIENCE).await;
-    assert!(matches!(again, PeerResponse::Submitted(Outcome::Repeated { .. })), "{again:?}");
+    let again = leader
+        .order("held".into(), evacuate(), PATIENCE, PATIENCE)
+        .await;
+    assert!(
+        matches!(again, PeerResponse::Submitted(Outcome::Repeated { .. })),
+        "{again:?}"
+    );
     assert!(!nodes.is_evacuated("n-a").await);
 }
 
@@ -115,25 +164,41 @@
     let (leader, follower) = nodes.roles().await;
     nodes.hold(true);
     let contact = Duration::from_millis(500);
-    let order =
-        tokio::spawn(
-            async move { follower.order("held".into(), evacuate(), contact, PATIENCE).await },
-        );
+    let order = tokio::spawn(async move {
+        follower
+            .order("held".into(), evacuate(), contact, PATIENCE)
+            .await
+    });
     let held = nodes.next_held().await;
     // By now the time for contact has begun, and is over so much later.
     let begun = transport::now();
     let mut turn = 0;
     while turn == 0 || transport::now() <= begun + contact.as_millis() as u64 {
-        nodes.must(&leader, &format!("evacuated {turn}"), evacuate()).await;
-        nodes.must(&leader, &format!("taken back {turn}"), reinstate()).await;
+        nodes
+            .must(&leader, &format!("evacuated {turn}"), evacuate())
+            .await;
+        nodes
+            .must(&leader, &format!("taken back {turn}"), reinstate())
+            .await;
         turn += 1;
     }
     nodes.hold(false);
-    held.release(Validity { deadline_ms: NEVER_MS, ..held.validity }).await;
+    held.release(Validity {
+        deadline_ms: NEVER_MS,
+        ..held.validity
+    })
+    .await;
     let reply = nodes.reply_to(held.number).await;
-    assert!(matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })), "{reply:?}");
+    assert!(
+        matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })),
+        "{reply:?}"
+    );
     let reply = order.await.expect("nobody panics");
-    assert_eq!(reply, PeerResponse::NotLeader, "it is asked to send the order again");
+    assert_eq!(
+        reply,
+        PeerResponse::NotLeader,
+        "it is asked to send the order again"
+    );
     assert!(!nodes.is_evacuated("n-a").await);
 }
 
@@ -146,7 +211,9 @@
     nodes.hold(true);
     let patience = Duration::from_millis(2_000);
     let asked = transport::now();
-    let reply = follower.order("held".into(), evacuate(), PATIENCE, patience).await;
+    let reply = follower
+        .order("held".into(), evacuate(), PATIENCE, patience)
+        .await;
     let ended = transport::now();
     assert!(!matches!(reply, PeerResponse::Submitted(_)), "{reply:?}");
     let mut held = vec![nodes.next_held().await];
@@ -154,7 +221,10 @@
     nodes.hold(false);
     let until = asked + patience.as_millis() as u64;
     for held in &held {
-        assert!(held.validity.deadline_ms <= until, "nodes of one process share a clock");
+        assert!(
+            held.validity.deadline_ms <= until,
+            "nodes of one process share a clock"
+        );
     }
     assert!(ended >= until);
     for held in &held {
@@ -164,10 +234,10 @@
     // What the follower submits next is something else.
     nodes.hold(true);
     let next = Arc::clone(&follower);
-    let order =
-        tokio::spawn(
-            async move { next.order("next".into(), reinstate(), PATIENCE, PATIENCE).await },
-        );
+    let order = tokio::spawn(async move {
+        next.order("next".into(), reinstate(), PATIENCE, PATIENCE)
+            .await
+    });
     let PeerRequest::Submit(proposal) = nodes.next_held().await.question else {
         panic!("proposals alone are held")
     };
@@ -191,15 +261,25 @@
     // The next leader gets the entry, and does not hear that it is committed.
     let known = next.look(|state| state.epoch());
     nodes.set_filter(Box::new(move |mut frame| {
-        if let Frame::Consensus(Message { to, body: Body::AppendEntries { commit, .. }, .. }) =
-            &mut frame
+        if let Frame::Consensus(Message {
+            to,
+            body: Body::AppendEntries { commit, .. },
+            ..
+        }) = &mut frame
         {
-            *commit = if *to == next_id { known.min(*commit) } else { *commit };
+            *commit = if *to == next_id {
+                known.min(*commit)
+            } else {
+                *commit
+            };
         }
         vec![frame]
     }));
     let text = r#"{"zones":{"x-a":{"region":"x"}},"cells":{"x-1":{"zone":"x-a"}}}"#;
-    let revise = Command::Revise { whole: false, text: text.into() };
+    let revise = Command::Revise {
+        whole: false,
+        text: text.into(),
+    };
     nodes.must(&leader, "a zone more", revise).await;
     assert!(third.confirm_within(PATIENCE).await);
     let base = third.look(|state| state.epoch());
@@ -207,31 +287,59 @@
     // It takes over, and no response tells it of a majority before the order is there.
     let mut is_asked = false;
     nodes.set_filter(Box::new(move |frame| match frame {
-        Frame::Consensus(Message { from, to, cluster, term, body: Body::AppendEntries { .. } })
-            if from == leader_id && to == next_id =>
-        {
+        Frame::Consensus(Message {
+            from,
+            to,
+            cluster,
+            term,
+            body: Body::AppendEntries { .. },
+        }) if from == leader_id && to == next_id => {
             let body = Body::TimeoutNow;
-            vec![Frame::Consensus(Message { from, to, cluster, term, body })]
+            vec![Frame::Consensus(Message {
+                from,
+                to,
+                cluster,
+                term,
+                body,
+            })]
         }
         Frame::Consensus(Message {
-            from, to, body: Body::AppendEntriesResponse { .. }, ..
+            from,
+            to,
+            body: Body::AppendEntriesResponse { .. },
+            ..
         }) if to == next_id && (from == leader_id || !is_asked) => Vec::new(),
-        Frame::Ask { validity, question: PeerRequest::Submit(_), .. } => {
+        Frame::Ask {
+            validity,
+            question: PeerRequest::Submit(_),
+            ..
+        } => {
             is_asked |= validity.deadline_ms > 0;
             vec![frame]
         }
         frame => vec![frame],
     }));
     let command = Command::Evacuate(Name::from("x-a"));
-    let proposal = Proposal { id: "at once".into(), base, command };
+    let proposal = Proposal {
+        id: "at once".into(),
+        base,
+        command,
+    };
     let mut cluster_status = next.leads_in();
     while cluster_status.is_none() {
         tokio::task::yield_now().await;
         cluster_status = next.leads_in();
     }
-    assert_eq!(next.look(|state| state.epoch()), known, "it knows nothing of the zone yet");
+    assert_eq!(
+        next.look(|state| state.epoch()),
+        known,
+        "it knows nothing of the zone yet"
+    );
     let reply = third.submit(proposal, PATIENCE).await;
-    assert!(matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })), "{reply:?}");
+    assert!(
+        matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })),
+        "{reply:?}"
+    );
 }
 
 /// Guards: what a node found due while it led is not proposed in another term, nor by
@@ -241,11 +349,22 @@
     let nodes = Nodes::start(5).await;
     let (leader, follower) = nodes.roles().await;
     let term = leader.leads_in().expect("it leads");
-    let proposal = |id: &str| Proposal { id: id.into(), base: 0, command: Command::Fleet(3) };
+    let proposal = |id: &str| Proposal {
+        id: id.into(),
+        base: 0,
+        command: Command::Fleet(3),
+    };
     for (desk, term) in [(&leader, term - 1), (&leader, term + 1), (&follower, term)] {
-        let reply = desk.submit_as_leader(proposal("late"), term, PATIENCE).await;
+        let reply = desk
+            .submit_as_leader(proposal("late"), term, PATIENCE)
+            .await;
         assert_eq!(reply, PeerResponse::NotLeader);
     }
-    let reply = leader.submit_as_leader(proposal("due"), term, PATIENCE).await;
-    assert!(matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })), "{reply:?}");
+    let reply = leader
+        .submit_as_leader(proposal("due"), term, PATIENCE)
+        .await;
+    assert!(
+        matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })),
+        "{reply:?}"
+    );
 }
--- a/placement/src/allowance.rs
+++ b/placement/src/allowance.rs
@@ -33,7 +33,10 @@
 }
 
 fn sum(counts: &mut VecDeque<(u64, u32)>, now: u64, window_ms: u64) -> u32 {
-    while counts.front().is_some_and(|(at, _)| at + window_ms + GRAIN_MS < now) {
+    while counts
+        .front()
+        .is_some_and(|(at, _)| at + window_ms + GRAIN_MS < now)
+    {
         counts.pop_front();
     }
     counts.iter().map(|(_, count)| count).sum()
@@ -49,7 +52,10 @@
 
 impl Allowance {
     pub fn new(bound: Bound) -> Allowance {
-        Allowance { bound, services: HashMap::new() }
+        Allowance {
+            bound,
+            services: HashMap::new(),
+        }
     }
 
     /// A job for a service came in.
@@ -66,13 +72,26 @@
     /// Asks for one further round. `sharers` routers share the extra; 0 stands for
     /// not known, and then there is none.
     pub fn spend(&mut self, now: u64, service: &str, sharers: usize) -> bool {
-        let Some(counts) = self.services.get_mut(service) else { return false };
-        let Bound { ratio, window_ms, extra } = self.bound;
+        let Some(counts) = self.services.get_mut(service) else {
+            return false;
+        };
+        let Bound {
+            ratio,
+            window_ms,
+            extra,
+        } = self.bound;
         // The jobs of the youngest half alone: a window that begins later than
         // this one may hold no more.
-        let jobs = counts.jobs.iter().filter(|(at, _)| now < at + window_ms / 2);
+        let jobs = counts
+            .jobs
+            .iter()
+            .filter(|(at, _)| now < at + window_ms / 2);
         let jobs: u32 = jobs.map(|(_, count)| count).sum();
-        let extra = if sharers == 0 { 0.0 } else { extra / sharers as f64 };
+        let extra = if sharers == 0 {
+            0.0
+        } else {
+            extra / sharers as f64
+        };
         let most = USED * (ratio * f64::from(jobs) + extra);
         if f64::from(sum(&mut counts.rounds, now, window_ms) + 1) > most {
             return false;
--- a/placement/src/cache.rs
+++ b/placement/src/cache.rs
@@ -29,7 +29,12 @@
 
 impl<T: Clone> Cache<T> {
     pub fn new(most: usize) -> Cache<T> {
-        Cache { slots: HashMap::new(), order: BTreeMap::new(), most: most.max(1), uses: 0 }
+        Cache {
+            slots: HashMap::new(),
+            order: BTreeMap::new(),
+            most: most.max(1),
+            uses: 0,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -44,7 +49,9 @@
     pub fn get(&mut self, key: &str, now: u64) -> (Hit<T>, u64, u64) {
         self.uses += 1;
         let uses = self.uses;
-        let Some(slot) = self.slots.get_mut(key) else { return (Hit::Miss, 0, 0) };
+        let Some(slot) = self.slots.get_mut(key) else {
+            return (Hit::Miss, 0, 0);
+        };
         if now >= slot.expires_at {
             self.drop_key(key);
             return (Hit::Miss, 0, 0);
@@ -78,7 +85,15 @@
         self.uses += 1;
         let used = self.uses;
         self.order.insert(used, key.to_string());
-        self.slots.insert(key.to_string(), Slot { value, fresh_until, expires_at, used });
+        self.slots.insert(
+            key.to_string(),
+            Slot {
+                value,
+                fresh_until,
+                expires_at,
+                used,
+            },
+        );
     }
 
     pub fn drop_key(&mut self, key: &str) {
--- a/placement/src/company.rs
+++ b/placement/src/company.rs
@@ -2,9 +2,9 @@
 //! and from then on by what is new.
 
 use consensus::Member;
+use protocol::{Front, News};
 use residency::Name;
 use std::collections::{BTreeMap, BTreeSet};
-use protocol::{Front, News};
 
 /// The same at both ends of a session. Invariant: a directory node takes in what
 /// it has put on its way to the router, and the router takes it in in this order,
@@ -39,10 +39,16 @@
     /// What is to be said for the other end to have these; it may be nothing.
     pub fn news(&self, fronts: Vec<Front>, directories: Vec<Member>) -> News {
         let names: BTreeSet<&str> = fronts.iter().map(|front| front.name.as_str()).collect();
-        let gone = self.fronts.keys().filter(|name| !names.contains(name.as_str()));
+        let gone = self
+            .fronts
+            .keys()
+            .filter(|name| !names.contains(name.as_str()));
         let gone = gone.map(|name| Name(name.clone())).collect();
-        let is_news =
-            |front: &Front| self.fronts.get(&front.name).is_none_or(|known| !is_same(known, front));
+        let is_news = |front: &Front| {
+            self.fronts
+                .get(&front.name)
+                .is_none_or(|known| !is_same(known, front))
+        };
         let is_known = self.has_begun && directories == self.directories;
         News {
             is_first: u8::from(!self.has_begun),
--- a/placement/src/control.rs
+++ b/placement/src/control.rs
@@ -28,7 +28,11 @@
     }
 
     fn lapse(&mut self, now: u64) {
-        while self.earned.front().is_some_and(|(since, _)| since + RETRY_LIFE_MS <= now) {
+        while self
+            .earned
+            .front()
+            .is_some_and(|(since, _)| since + RETRY_LIFE_MS <= now)
+        {
             self.earned.pop_front();
         }
     }
@@ -68,7 +72,9 @@
 
     /// Of an engine that completed so many answers since it came back cold.
     pub fn after(completed: u32) -> Warmth {
-        Warmth { completed: completed.min(WARM_AFTER) }
+        Warmth {
+            completed: completed.min(WARM_AFTER),
+        }
     }
 
     pub fn is_warm(&self) -> bool {
@@ -94,7 +100,9 @@
             format!("| {name} | {} |", values.join(" | "))
         };
         let mut rows = Vec::new();
-        let limits = (0..=24).step_by(4).map(|answers| Warmth::after(answers).limit(7).into());
+        let limits = (0..=24)
+            .step_by(4)
+            .map(|answers| Warmth::after(answers).limit(7).into());
         rows.push(row("limit", limits.collect()));
         let mut retries = Retries::default();
         let (mut spent, mut marks) = (0, Vec::new());
@@ -149,7 +157,9 @@
     /// Guards: an engine coming back cold is not flooded.
     #[test]
     fn a_cold_engine_warms_up_by_answers() {
-        let limits: Vec<u32> = (0..=WARM_AFTER).map(|n| Warmth::after(n).limit(8)).collect();
+        let limits: Vec<u32> = (0..=WARM_AFTER)
+            .map(|n| Warmth::after(n).limit(8))
+            .collect();
         assert_eq!(limits[0], 1);
         assert!(limits.is_sorted());
         assert_eq!(limits.last(), Some(&8));
--- a/placement/src/elect.rs
+++ b/placement/src/elect.rs
@@ -44,7 +44,13 @@
     use super::*;
 
     fn candidate(index: usize, running: u32, limit: u32, tier: usize) -> Candidate {
-        Candidate { index, mark: mix(index as u64 + 1), running, limit, tier }
+        Candidate {
+            index,
+            mark: mix(index as u64 + 1),
+            running,
+            limit,
+            tier,
+        }
     }
 
     #[test]
@@ -55,7 +61,11 @@
         assert!(home < 2, "the serving cell goes first");
         let mut full = free.clone();
         full[home].running = 4;
-        assert_eq!(first(&full), Some(1 - home), "the next in rank of the same cell");
+        assert_eq!(
+            first(&full),
+            Some(1 - home),
+            "the next in rank of the same cell"
+        );
         full[1 - home].running = 4;
         let spill = first(&full).expect("the spill cell is free");
         assert!(spill >= 2);
@@ -69,7 +79,10 @@
         for prefix in 0..2000u64 {
             let before = elect(prefix, &engines).expect("all are free");
             let after = elect(prefix, &engines[..6]).expect("all are free");
-            assert!(before == after || before == 6, "prefix {prefix} moved without need");
+            assert!(
+                before == after || before == 6,
+                "prefix {prefix} moved without need"
+            );
         }
     }
 }
--- a/placement/src/engines.rs
+++ b/placement/src/engines.rs
@@ -53,7 +53,9 @@
             let holder = peers.iter().max_by_key(|peer| rank(place, **peer));
             holder == Some(&me)
         };
-        (self.taken..limit).filter(|place| !self.used.contains(place)).find(is_mine)
+        (self.taken..limit)
+            .filter(|place| !self.used.contains(place))
+            .find(is_mine)
     }
 }
 
@@ -75,9 +77,12 @@
 
 impl Known {
     fn limit(&self, fill: f64) -> u32 {
-        let slots = self.vitals.map_or(0, |vitals| self.engine.slots.min(vitals.slots));
+        let slots = self
+            .vitals
+            .map_or(0, |vitals| self.engine.slots.min(vitals.slots));
         let point = (f64::from(slots) * fill).ceil() as u32;
-        self.vitals.map_or(0, |vitals| vitals.warmth().limit(point.min(slots)))
+        self.vitals
+            .map_or(0, |vitals| vitals.warmth().limit(point.min(slots)))
     }
 }
 
@@ -85,7 +90,13 @@
 #[derive(Debug, PartialEq)]
 pub enum Chosen {
     /// `until`: when the place lapses, unless the job's bytes have left.
-    Engine { name: String, address: String, zone: String, until: Option<u64>, losses: u64 },
+    Engine {
+        name: String,
+        address: String,
+        zone: String,
+        until: Option<u64>,
+        losses: u64,
+    },
     /// All that could take the job are at their limit.
     Full,
     /// No engine that may take it is in sight.
@@ -102,7 +113,10 @@
             .is_some_and(|cell| mapping.regions.iter().any(|r| r.0 == cell.region));
         is_home
             && engine.address == address
-            && engine.services.iter().any(|service| service.0 == mapping.service)
+            && engine
+                .services
+                .iter()
+                .any(|service| service.0 == mapping.service)
             && mapping.cells.iter().any(|cell| cell.0 == engine.cell)
             && view.is_open(engine)
     })
@@ -118,7 +132,9 @@
     /// those that are gone or have moved.
     pub fn follow(&mut self, now: u64, view: &View) -> (Vec<Engine>, Vec<String>) {
         let is_same = |name: &str, known: &Known| {
-            view.engines.get(name).is_some_and(|e| e.address == known.engine.address)
+            view.engines
+                .get(name)
+                .is_some_and(|e| e.address == known.engine.address)
         };
         let gone: Vec<String> = self
             .known
@@ -170,7 +186,9 @@
 
     /// Whether an engine was heard without a break since it was elected.
     pub fn is_unbroken(&self, name: &str, losses: u64) -> bool {
-        self.known.get(name).is_some_and(|known| known.losses == losses)
+        self.known
+            .get(name)
+            .is_some_and(|known| known.losses == losses)
     }
 
     pub fn is_known(&self, name: &str) -> bool {
@@ -188,7 +206,9 @@
     /// Whether an engine has been silent for so long that no answer is to be
     /// expected. One that was only taken off the list may finish.
     pub fn is_gone(&self, now: u64, name: &str) -> bool {
-        self.known.get(name).is_some_and(|known| now > known.heard + GONE_MS)
+        self.known
+            .get(name)
+            .is_some_and(|known| now > known.heard + GONE_MS)
     }
 
     /// Elects an engine for a job among those that view and mapping allow. `me`
@@ -232,9 +252,14 @@
         if candidates.is_empty() {
             return Chosen::Nobody;
         }
-        let Some(index) = elect(prefix, &candidates) else { return Chosen::Full };
+        let Some(index) = elect(prefix, &candidates) else {
+            return Chosen::Full;
+        };
         let (name, place) = found.swap_remove(index);
-        let known = self.known.get_mut(&name).expect("it was listed a moment ago");
+        let known = self
+            .known
+            .get_mut(&name)
+            .expect("it was listed a moment ago");
         known.own += 1;
         known.since += 1;
         let until = place.map(|place| {
@@ -243,7 +268,11 @@
         });
         Chosen::Engine {
             address: known.engine.address.clone(),
-            zone: view.cells.get(&known.engine.cell).cloned().unwrap_or_default(),
+            zone: view
+                .cells
+                .get(&known.engine.cell)
+                .cloned()
+                .unwrap_or_default(),
             name,
             until,
             losses: known.losses,
@@ -265,7 +294,10 @@
     use residency::{EngineState, Event, Name, Place};
 
     fn view(engines: usize) -> View {
-        let place = |name: &str, within: &str| Place { name: name.into(), within: within.into() };
+        let place = |name: &str, within: &str| Place {
+            name: name.into(),
+            within: within.into(),
+        };
         let mut view = View::default();
         view.take(&Event::Places {
             zones: vec![place("north-a", "north")],
@@ -319,28 +351,43 @@
         let (view, mapping) = (view(engines), mapping());
         let peers: Vec<u64> = (0..routers as u64).map(|at| rank(7, at)).collect();
         let mut fleet: Vec<Engines> = (0..routers).map(|_| Engines::default()).collect();
-        fleet.iter_mut().for_each(|known| drop(known.follow(0, &view)));
+        fleet
+            .iter_mut()
+            .for_each(|known| drop(known.follow(0, &view)));
         let mut cold: Vec<Cold> = (0..engines)
-            .map(|_| Cold { born: draw(5_000), jobs: Vec::new(), completed: 0 })
+            .map(|_| Cold {
+                born: draw(5_000),
+                jobs: Vec::new(),
+                completed: 0,
+            })
             .collect();
         let mut lines: Vec<(u64, usize, usize, Vitals)> = Vec::new();
         let mut sent: Vec<(u64, usize, u64)> = Vec::new();
         let mut held: Vec<(u64, usize, usize)> = Vec::new();
-        let mut flood = Flood { most_over: i64::MIN, refused: 0, begun: 0, warm_at: None };
+        let mut flood = Flood {
+            most_over: i64::MIN,
+            refused: 0,
+            begun: 0,
+            warm_at: None,
+        };
         let phases: Vec<u64> = (0..routers * engines).map(|_| draw(100)).collect();
         for now in 10_000..30_000u64 {
             for (at, engine) in cold.iter_mut().enumerate() {
                 let before = engine.jobs.len();
                 engine.jobs.retain(|end| *end > now);
                 engine.completed += (before - engine.jobs.len()) as u32;
-                let (come, later): (Vec<_>, Vec<_>) =
-                    sent.drain(..).partition(|(due, to, _)| *due <= now && *to == at);
+                let (come, later): (Vec<_>, Vec<_>) = sent
+                    .drain(..)
+                    .partition(|(due, to, _)| *due <= now && *to == at);
                 sent = later;
-                engine.jobs.extend(come.into_iter().map(|(_, _, takes)| now + takes));
+                engine
+                    .jobs
+                    .extend(come.into_iter().map(|(_, _, takes)| now + takes));
                 let limit = Warmth::after(engine.completed).limit(7);
                 if limit < 7 {
-                    flood.most_over =
-                        flood.most_over.max(engine.jobs.len() as i64 - i64::from(limit));
+                    flood.most_over = flood
+                        .most_over
+                        .max(engine.jobs.len() as i64 - i64::from(limit));
                 }
                 for router in 0..routers {
                     if (now + phases[router * engines + at]).is_multiple_of(100) {
@@ -361,7 +408,14 @@
             let (come, later): (Vec<_>, Vec<_>) = lines.into_iter().partition(|line| line.0 <= now);
             lines = later;
             for (_, router, at, vitals) in come {
-                fleet[router].heard(now, &format!("engine-{at}"), Vitals { heard: now, ..vitals });
+                fleet[router].heard(
+                    now,
+                    &format!("engine-{at}"),
+                    Vitals {
+                        heard: now,
+                        ..vitals
+                    },
+                );
             }
             held.retain(|(until, router, at)| {
                 if *until <= now {
@@ -400,7 +454,11 @@
                 let flood = crowd(routers, engines, seed);
                 let what = format!("{routers} routers, {engines} engines, seed {seed}");
                 assert!(flood.most_over <= 0, "{what}: {} too many", flood.most_over);
-                assert!(flood.warm_at.is_some_and(|at| at < 16_000), "{what}: {:?}", flood.warm_at);
+                assert!(
+                    flood.warm_at.is_some_and(|at| at < 16_000),
+                    "{what}: {:?}",
+                    flood.warm_at
+                );
             }
         }
     }
--- a/placement/src/estimates.rs
+++ b/placement/src/estimates.rs
@@ -101,22 +101,29 @@
         let (mut kept, mut shared, mut is_kept) = (0, 0, true);
         let last = prompt.parts.len().saturating_sub(1);
         for (place, part) in prompt.parts.iter().enumerate() {
-            is_kept &= self.kept.get(&part.chain).is_some_and(|at| now < at + KEPT_MS);
+            is_kept &= self
+                .kept
+                .get(&part.chain)
+                .is_some_and(|at| now < at + KEPT_MS);
             match is_kept {
                 true => kept += part.tokens,
                 false if place < last => shared += part.tokens,
                 false => {}
             }
         }
-        (f64::from(prompt.tokens_in.saturating_sub(kept)), f64::from(shared))
+        (
+            f64::from(prompt.tokens_in.saturating_sub(kept)),
+            f64::from(shared),
+        )
     }
 
     /// Jobs and tokens being read there, of all processes.
     fn load(&self, now: u64) -> (u32, f64) {
         let told = self.others.values().filter(|(.., at)| now < at + TOLD_MS);
-        told.fold((self.own, self.reading), |(jobs, tokens), (more, reading, _)| {
-            (jobs + more, tokens + reading)
-        })
+        told.fold(
+            (self.own, self.reading),
+            |(jobs, tokens), (more, reading, _)| (jobs + more, tokens + reading),
+        )
     }
 
     fn excess(&self, now: u64) -> f64 {
@@ -158,7 +165,9 @@
     /// have moved.
     pub fn follow(&mut self, now: u64, view: &View) -> Vec<String> {
         let is_same = |name: &str, known: &Known| {
-            view.engines.get(name).is_some_and(|e| e.address == known.engine.address)
+            view.engines
+                .get(name)
+                .is_some_and(|e| e.address == known.engine.address)
         };
         let gone: Vec<String> = self
             .known
@@ -181,7 +190,11 @@
         for zone in self.evacuated.difference(&view.evacuated) {
             let is_there = |known: &&mut Known| view.cells.get(&known.engine.cell) == Some(zone);
             for known in self.known.values_mut().filter(is_there) {
-                let traits = known.engine.services.first().and_then(|s| view.services.get(&s.0));
+                let traits = known
+                    .engine
+                    .services
+                    .first()
+                    .and_then(|s| view.services.get(&s.0));
                 let warm_ms = traits.map_or(0, |traits| traits.warm_ms);
                 known.cold_until = known.cold_until.max(now + warm_ms);
             }
@@ -223,7 +236,12 @@
             let (unread, shared) = known.unread(now, wanted.prompt);
             let cost = (reading + unread + SHARED * shared) / READ_PACE
                 + known.excess(now)
-                + f64::from(jobs) * if wanted.prompt.tokens_in == 0 { 12.0 } else { 1.0 }
+                + f64::from(jobs)
+                    * if wanted.prompt.tokens_in == 0 {
+                        12.0
+                    } else {
+                        1.0
+                    }
                 + if is_far { FAR_MS } else { 0.0 };
             let draw = match wanted.prefix {
                 0 => u64::MAX / 2,
@@ -254,12 +272,19 @@
         // job has been there.
         suspects.retain(|(_, name, _)| !wanted.avoid.contains(name));
         suspects.sort();
-        let best =
-            best.or_else(|| suspects.into_iter().next().map(|(_, name, is_cold)| (name, is_cold)));
+        let best = best.or_else(|| {
+            suspects
+                .into_iter()
+                .next()
+                .map(|(_, name, is_cold)| (name, is_cold))
+        });
         let Some((name, is_cold)) = best else {
             return if is_any { Chosen::Full } else { Chosen::Nobody };
         };
-        let known = self.known.get_mut(&name).expect("it was listed a moment ago");
+        let known = self
+            .known
+            .get_mut(&name)
+            .expect("it was listed a moment ago");
         known.own += 1;
         let until = is_cold.then(|| {
             // A part of the fleet that sees no other is not the whole of it.
@@ -269,7 +294,11 @@
         });
         Chosen::Engine {
             address: known.engine.address.clone(),
-            zone: view.cells.get(&known.engine.cell).cloned().unwrap_or_default(),
+            zone: view
+                .cells
+                .get(&known.engine.cell)
+                .cloned()
+                .unwrap_or_default(),
             name,
             until,
             losses: 0,
@@ -289,7 +318,10 @@
             known.said = (jobs, tokens, now);
             loads.push((name.clone(), jobs, tokens));
         }
-        News { loads, kept: std::mem::take(&mut self.kept) }
+        News {
+            loads,
+            kept: std::mem::take(&mut self.kept),
+        }
     }
 
     /// Another process tells its news.
@@ -297,7 +329,9 @@
         for (name, jobs, tokens) in &news.loads {
             if let Some(known) = self.known.get_mut(name) {
                 known.others.retain(|_, (.., at)| now < *at + TOLD_MS);
-                known.others.insert(from.to_string(), (*jobs, f64::from(*tokens), now));
+                known
+                    .others
+                    .insert(from.to_string(), (*jobs, f64::from(*tokens), now));
             }
         }
         for (name, chain) in &news.kept {
@@ -310,7 +344,9 @@
     /// A job's bytes have left for an engine. Gives the time that its first event
     /// is expected to take, and the tokens that count as being read there.
     pub fn sent(&mut self, now: u64, name: &str, prompt: &Prompt) -> (f64, f64) {
-        let Some(known) = self.known.get_mut(name) else { return (0.0, 0.0) };
+        let Some(known) = self.known.get_mut(name) else {
+            return (0.0, 0.0);
+        };
         let (unread, _) = known.unread(now, prompt);
         let expected = (known.load(now).1 + unread) / READ_PACE;
         known.reading += unread;
@@ -350,7 +386,8 @@
     pub fn suspects(&self, now: u64) -> Vec<(String, String)> {
         let is_due = |known: &&Known| known.failures > 0 && now >= known.suspect_until;
         let due = self.known.values().filter(is_due);
-        due.map(|known| (known.engine.name.clone(), known.engine.address.clone())).collect()
+        due.map(|known| (known.engine.name.clone(), known.engine.address.clone()))
+            .collect()
     }
 
     /// It could be reached.
@@ -399,19 +436,30 @@
     pub fn list(&self, now: u64) -> impl Iterator<Item = (&str, u32, bool, bool, u64)> {
         self.known.iter().map(move |(name, known)| {
             let (is_suspect, is_cold) = (now < known.suspect_until, now < known.cold_until);
-            (&**name, known.own, is_suspect, is_cold, known.excess(now) as u64)
+            (
+                &**name,
+                known.own,
+                is_suspect,
+                is_cold,
+                known.excess(now) as u64,
+            )
         })
     }
 }
 
 /// Jobs a second that a cold engine bears; 0 stands for no bound.
 fn cold_pace(view: &View, mapping: &Mapping) -> u64 {
-    view.services.get(&mapping.service).map_or(0, |traits| traits.warm_pace)
+    view.services
+        .get(&mapping.service)
+        .map_or(0, |traits| traits.warm_pace)
 }
 
 /// Whether a process is among those that share a cold engine's pace. All agree on
 /// who they are, as far as they agree on who there is.
 fn is_sharer(mark: u64, me: u64, peers: &[u64]) -> bool {
-    let above = peers.iter().filter(|peer| rank(mark, **peer) > rank(mark, me)).count();
+    let above = peers
+        .iter()
+        .filter(|peer| rank(mark, **peer) > rank(mark, me))
+        .count();
     peers.contains(&me) && above < COLD_SHARERS
 }
--- a/placement/src/following.rs
+++ b/placement/src/following.rs
@@ -1,10 +1,10 @@
 //! What a router knows by its session with a directory node, and until when it
 //! may act on it.
 
+use protocol::LEASE_MS;
 use residency::{Event, View};
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use protocol::LEASE_MS;
 
 /// Invariants: the view's epoch only rises, whichever node speaks and however
 /// late; a lease is counted from when its beat was sent, and is taken only
@@ -51,13 +51,19 @@
     pub fn picture(&mut self, epoch: u64, events: &[Event]) -> Result<Taken, String> {
         let known = self.view.epoch;
         if epoch < known {
-            return Err(format!("its picture is of epoch {epoch}, {known} is in force"));
+            return Err(format!(
+                "its picture is of epoch {epoch}, {known} is in force"
+            ));
         }
         let mut view = View::default();
         events.iter().for_each(|event| view.take(event));
         view.epoch = epoch;
         self.view = Arc::new(view);
-        Ok(if epoch > known { Taken::Picture } else { Taken::Same })
+        Ok(if epoch > known {
+            Taken::Picture
+        } else {
+            Taken::Same
+        })
     }
 
     pub fn change(&mut self, prior: u64, epoch: u64, events: &[Event]) -> Result<Taken, String> {
@@ -136,17 +142,30 @@
                     // The leader confirms all that counted when it was asked.
                     leases.push((now + 1 + draw(900), number, newest));
                 }
-                let due: Vec<_> = leases.iter().filter(|(at, ..)| *at <= now).copied().collect();
+                let due: Vec<_> = leases
+                    .iter()
+                    .filter(|(at, ..)| *at <= now)
+                    .copied()
+                    .collect();
                 leases.retain(|(at, ..)| *at > now);
                 for (_, number, epoch) in due {
                     taken += usize::from(following.lease_valid(number, epoch).is_some());
                 }
                 let epoch = following.view().epoch;
-                assert!(epoch >= highest, "seed {seed}: it fell from {highest} to {epoch}");
+                assert!(
+                    epoch >= highest,
+                    "seed {seed}: it fell from {highest} to {epoch}"
+                );
                 highest = epoch;
                 if now < following.lease() {
-                    let owed = counted.iter().rposition(|at| at + 3_000 <= now).unwrap_or(0);
-                    assert!(epoch >= owed as u64, "seed {seed}: {epoch}, {owed} counted 3 s ago");
+                    let owed = counted
+                        .iter()
+                        .rposition(|at| at + 3_000 <= now)
+                        .unwrap_or(0);
+                    assert!(
+                        epoch >= owed as u64,
+                        "seed {seed}: {epoch}, {owed} counted 3 s ago"
+                    );
                 }
             }
             assert!(taken > 3, "seed {seed}: {taken} leases");
--- a/placement/src/job.rs
+++ b/placement/src/job.rs
@@ -218,7 +218,10 @@
             (S::Answering, E::AnswerEnded) => S::Done,
             (S::Answering, E::StreamBroke) => S::Broken,
             (S::Answering | S::Done | S::Broken | S::Refused | S::Gone, E::Refuse) => {
-                return Err(Misstep { state: self.state, event })
+                return Err(Misstep {
+                    state: self.state,
+                    event,
+                })
             }
             (_, E::Refuse) => S::Refused,
             (S::Done | S::Broken | S::Refused, E::CallerLeft) => self.state,
@@ -242,28 +245,79 @@
         let cases: Vec<(bool, &[Event], State, Outcome)> = vec![
             (false, &[], State::Elected, Outcome::NotRun),
             (false, &[ConnectFailed], State::Mapped, Outcome::NotRun),
-            (false, &[ConnectFailed, Refuse], State::Refused, Outcome::NotRun),
+            (
+                false,
+                &[ConnectFailed, Refuse],
+                State::Refused,
+                Outcome::NotRun,
+            ),
             (false, &[BytesLeave], State::Committed, Outcome::Unknown),
-            (false, &[BytesLeave, AnswerLost], State::Broken, Outcome::Unknown),
-            (false, &[BytesLeave, Declined], State::Mapped, Outcome::NotRun),
-            (false, &[BytesLeave, NothingLeft], State::Mapped, Outcome::NotRun),
-            (false, &[BytesLeave, Refuse], State::Refused, Outcome::Unknown),
-            (false, &[BytesLeave, CallerLeft], State::Gone, Outcome::Unknown),
-            (true, &[BytesLeave, AnswerLost], State::Mapped, Outcome::Unknown),
-            (true, &[BytesLeave, AnswerLost, Refuse], State::Refused, Outcome::Unknown),
+            (
+                false,
+                &[BytesLeave, AnswerLost],
+                State::Broken,
+                Outcome::Unknown,
+            ),
+            (
+                false,
+                &[BytesLeave, Declined],
+                State::Mapped,
+                Outcome::NotRun,
+            ),
+            (
+                false,
+                &[BytesLeave, NothingLeft],
+                State::Mapped,
+                Outcome::NotRun,
+            ),
+            (
+                false,
+                &[BytesLeave, Refuse],
+                State::Refused,
+                Outcome::Unknown,
+            ),
+            (
+                false,
+                &[BytesLeave, CallerLeft],
+                State::Gone,
+                Outcome::Unknown,
+            ),
+            (
+                true,
+                &[BytesLeave, AnswerLost],
+                State::Mapped,
+                Outcome::Unknown,
+            ),
+            (
+                true,
+                &[BytesLeave, AnswerLost, Refuse],
+                State::Refused,
+                Outcome::Unknown,
+            ),
             (
                 true,
                 &[BytesLeave, AnswerLost, EngineElected, BytesLeave, Declined],
                 State::Mapped,
                 Outcome::Unknown,
             ),
-            (false, &[BytesLeave, AnswerBegan, AnswerEnded], State::Done, Outcome::Ran),
-            (false, &[BytesLeave, AnswerBegan, StreamBroke], State::Broken, Outcome::Unknown),
+            (
+                false,
+                &[BytesLeave, AnswerBegan, AnswerEnded],
+                State::Done,
+                Outcome::Ran,
+            ),
+            (
+                false,
+                &[BytesLeave, AnswerBegan, StreamBroke],
+                State::Broken,
+                Outcome::Unknown,
+            ),
         ];
         for (is_repeatable, events, state, outcome) in cases {
             let mut job = Job::new(is_repeatable);
             for event in start.iter().chain(events) {
-                job.step(*event).expect("every case is a way through the chart");
+                job.step(*event)
+                    .expect("every case is a way through the chart");
             }
             assert_eq!((job.state(), job.outcome()), (state, outcome), "{events:?}");
         }
@@ -274,7 +328,11 @@
         let cases: Vec<(bool, Vec<Event>, Event)> = vec![
             (false, vec![], BytesLeave),
             (false, vec![KeyRead, MappingFound], BytesLeave),
-            (false, vec![KeyRead, MappingFound, EngineElected, BytesLeave], EngineElected),
+            (
+                false,
+                vec![KeyRead, MappingFound, EngineElected, BytesLeave],
+                EngineElected,
+            ),
             (true, vec![KeyRead, HandedOn, AnswerBegan], EngineElected),
             (true, vec![KeyRead, HandedOn, AnswerBegan], Refuse),
             (true, vec![KeyRead, HandedOn], MappingFound),
@@ -286,7 +344,10 @@
             events.iter().for_each(|event| {
                 job.step(*event).expect("the way there is allowed");
             });
-            assert!(job.step(forbidden).is_err(), "{events:?} then {forbidden:?}");
+            assert!(
+                job.step(forbidden).is_err(),
+                "{events:?} then {forbidden:?}"
+            );
         }
     }
 
--- a/placement/src/paces.rs
+++ b/placement/src/paces.rs
@@ -5,8 +5,8 @@
 //! differences, so that a beat or an answer that is lost, late or said twice
 //! changes nothing.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use protocol::{Demand, FrontDemand, FrontShares, Share, LATELY_MS, LEASE_MS};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How long a job waits for its tenant's pace where there is a leader's word:
 /// one that can't have room by then is refused at once.
@@ -56,7 +56,11 @@
     }
 
     fn lately(&mut self, now: u64) -> [u64; 4] {
-        while self.lately.front().is_some_and(|(at, _)| at + LATELY_MS[3] < now) {
+        while self
+            .lately
+            .front()
+            .is_some_and(|(at, _)| at + LATELY_MS[3] < now)
+        {
             self.lately.pop_front();
         }
         LATELY_MS.map(|span| {
@@ -97,7 +101,15 @@
 impl Meters {
     pub fn new(now: u64, life: u64) -> Meters {
         let (meters, beats) = (BTreeMap::new(), VecDeque::new());
-        Meters { life, meters, beats, beaten: 0, began: now, asked: None, awake: now }
+        Meters {
+            life,
+            meters,
+            beats,
+            beaten: 0,
+            began: now,
+            asked: None,
+            awake: now,
+        }
     }
 
     /// Asks for a place for a job that came at `came`. Those that wait go first.
@@ -111,7 +123,11 @@
     ) -> Place {
         self.wake(now);
         let meter = self.meters.entry(tenant.to_string()).or_default();
-        let free = if now < meter.until { meter.limit - meter.used } else { 0 };
+        let free = if now < meter.until {
+            meter.limit - meter.used
+        } else {
+            0
+        };
         let before = match ticket {
             Some(ticket) => meter.queue.range(..ticket).count() as u64,
             None => {
@@ -140,7 +156,11 @@
         };
         if is_over {
             ticket.map(|ticket| meter.queue.remove(&ticket));
-            return if is_heard { Place::Refused } else { Place::Unheard };
+            return if is_heard {
+                Place::Refused
+            } else {
+                Place::Unheard
+            };
         }
         Place::Queued(ticket.unwrap_or_else(|| {
             meter.next += 1;
@@ -182,14 +202,21 @@
         let is_spoken_of = |meter: &Meter| {
             now < meter.seen + FORGET_MS || meter.limit > meter.used || !meter.queue.is_empty()
         };
-        let meters = self.meters.iter_mut().filter(|(_, meter)| is_spoken_of(meter));
+        let meters = self
+            .meters
+            .iter_mut()
+            .filter(|(_, meter)| is_spoken_of(meter));
         let demands = meters.map(|(tenant, meter)| {
             let rate = meter.arrived as f64 * 1_000.0 / elapsed;
             meter.rate += (rate - meter.rate) * (elapsed / 1_000.0).clamp(0.05, 1.0);
             meter.arrived = 0;
             let ahead = (meter.rate * AHEAD_MS / 1_000.0).round() as u64;
             let most = meter.used + meter.queue.len() as u64 + 2 * ahead;
-            let kept = if now < meter.until { meter.limit.min(most) } else { meter.used };
+            let kept = if now < meter.until {
+                meter.limit.min(most)
+            } else {
+                meter.used
+            };
             if kept < meter.limit {
                 meter.limit = kept;
                 meter.floor = number;
@@ -207,7 +234,13 @@
         });
         let demands = demands.collect();
         let age_ms = now - self.began;
-        FrontDemand { front: front.into(), life: self.life, number, age_ms, demands }
+        FrontDemand {
+            front: front.into(),
+            life: self.life,
+            number,
+            age_ms,
+            demands,
+        }
     }
 
     /// Takes the leader's answer to the beat of this number; what it allows
@@ -215,7 +248,9 @@
     pub fn take(&mut self, now: u64, number: u64, until: u64, shares: &[Share]) {
         self.asked = None;
         for share in shares {
-            let Some(meter) = self.meters.get_mut(&share.tenant) else { continue };
+            let Some(meter) = self.meters.get_mut(&share.tenant) else {
+                continue;
+            };
             if number < meter.floor {
                 continue;
             }
@@ -245,7 +280,12 @@
 
 impl Account {
     fn open(&self) -> u64 {
-        let most = self.given.iter().map(|(_, limit)| *limit).max().unwrap_or(0);
+        let most = self
+            .given
+            .iter()
+            .map(|(_, limit)| *limit)
+            .max()
+            .unwrap_or(0);
         self.limit.max(most).saturating_sub(self.used)
     }
 
@@ -282,7 +322,10 @@
 impl Paces {
     /// Of a leader that begins now.
     pub fn new(now: u64) -> Paces {
-        Paces { pots: BTreeMap::new(), since: now }
+        Paces {
+            pots: BTreeMap::new(),
+            since: now,
+        }
     }
 
     /// Answers the demands of one beat; `terms` gives a tenant's pace and burst.
@@ -295,17 +338,24 @@
         let shares = from.demands.iter().filter_map(|demand| {
             let (pace, burst) = terms(&demand.tenant).filter(|terms| terms.0 > 0)?;
             let most = (burst.max(1) * 1_000) as i64;
-            let pot = self.pots.entry(demand.tenant.clone()).or_insert_with(|| Pot {
-                held: most,
-                before: LATELY_MS.map(|span| most + (span * pace) as i64),
-                since: now,
-                filled: now,
-                accounts: BTreeMap::new(),
-            });
+            let pot = self
+                .pots
+                .entry(demand.tenant.clone())
+                .or_insert_with(|| Pot {
+                    held: most,
+                    before: LATELY_MS.map(|span| most + (span * pace) as i64),
+                    since: now,
+                    filled: now,
+                    accounts: BTreeMap::new(),
+                });
             Some(pot.answer(now, from, demand, pace, most, now < self.since + HEARING_MS))
         });
         let shares = shares.collect();
-        FrontShares { front: from.front.clone(), number: from.number, shares }
+        FrontShares {
+            front: from.front.clone(),
+            number: from.number,
+            shares,
+        }
     }
 }
 
@@ -335,7 +385,10 @@
         let mut charged = 0;
         if account.life == 0 {
             let lately = demand.lately.iter().map(|count| (count * 1_000) as i64);
-            self.before.iter_mut().zip(lately).for_each(|(held, count)| *held -= count);
+            self.before
+                .iter_mut()
+                .zip(lately)
+                .for_each(|(held, count)| *held -= count);
             // Neither knows what was admitted before both began.
             if from.age_ms < LATELY_MS[3] && now < self.since + LEASE_MS {
                 self.held = self.held.min(most / 2);
@@ -345,7 +398,13 @@
             // What an earlier life had open it may have used.
             charged += account.open();
             let (life, used) = (from.life, demand.used);
-            *account = Account { life, used, number: 0, given: Vec::new(), ..*account };
+            *account = Account {
+                life,
+                used,
+                number: 0,
+                given: Vec::new(),
+                ..*account
+            };
         }
         // A beat that came late says nothing new, and gets nothing.
         let is_late = from.number <= account.number;
@@ -364,11 +423,22 @@
         let charged = (charged * 1_000) as i64;
         self.held = (self.held - charged).max(-most);
         self.before = self.before.map(|held| held - charged);
-        let held = self.before.iter().fold(self.held, |held, before| held.min(*before));
+        let held = self
+            .before
+            .iter()
+            .fold(self.held, |held, before| held.min(*before));
         let is_heard = |account: &Account| now < account.heard + LEASE_MS;
-        let open: u64 = self.accounts.values().filter(|a| is_heard(a)).map(Account::open).sum();
+        let open: u64 = self
+            .accounts
+            .values()
+            .filter(|a| is_heard(a))
+            .map(Account::open)
+            .sum();
         let unmet = |name: &str| -> u64 {
-            let others = self.accounts.iter().filter(|(other, a)| *other != name && is_heard(a));
+            let others = self
+                .accounts
+                .iter()
+                .filter(|(other, a)| *other != name && is_heard(a));
             others.map(|(_, account)| account.unmet()).sum()
         };
         let others = unmet(&from.front);
@@ -392,7 +462,11 @@
                 account.given.push((from.number, limit));
             }
         }
-        Share { tenant: demand.tenant.clone(), limit, queue_ms: queue * 1_000 / pace }
+        Share {
+            tenant: demand.tenant.clone(),
+            limit,
+            queue_ms: queue * 1_000 / pace,
+        }
     }
 }
 
@@ -439,7 +513,9 @@
         seed: u64,
     ) -> Seen {
         let mut draw = crate::draws(seed);
-        let mut fleet: Vec<Meters> = (0..routers).map(|at| Meters::new(0, at as u64 + 1)).collect();
+        let mut fleet: Vec<Meters> = (0..routers)
+            .map(|at| Meters::new(0, at as u64 + 1))
+            .collect();
         let mut paces = Some(Paces::new(1_000));
         let mut beats: Vec<(u64, u64)> = (0..routers).map(|_| (1_000 + draw(350), 0)).collect();
         let mut up: Vec<(u64, usize, u64, FrontDemand)> = Vec::new();
@@ -464,7 +540,11 @@
                 down.retain(|(_, router, ..)| *router != 0);
                 queue.retain(|job| job.router != 0);
             }
-            for (router, meters) in fleet.iter_mut().enumerate().filter(|(at, _)| !is_frozen(*at)) {
+            for (router, meters) in fleet
+                .iter_mut()
+                .enumerate()
+                .filter(|(at, _)| !is_frozen(*at))
+            {
                 let (next, number) = &mut beats[router];
                 let is_due = now >= *next || meters.is_waited_for() && now + 300 >= *next;
                 if is_due {
@@ -519,7 +599,11 @@
                 let router = if is_frozen(router) { 1 } else { router };
                 match fleet[router].admit(now, "t", now, None, PATIENCE) {
                     Place::Admitted => seen.admitted.push(now),
-                    Place::Queued(ticket) => queue.push(Job { came: now, router, ticket }),
+                    Place::Queued(ticket) => queue.push(Job {
+                        came: now,
+                        router,
+                        ticket,
+                    }),
                     Place::Refused | Place::Unheard => seen.refused += 1,
                 }
             }
@@ -532,7 +616,13 @@
     /// At twice the pace and at ten times: little more than it, and not much
     /// less.
     fn holds(seeds: std::ops::Range<u64>) -> usize {
-        let faults = [Fault::None, Fault::Leader, Fault::Router, Fault::Frozen, Fault::Losses];
+        let faults = [
+            Fault::None,
+            Fault::Leader,
+            Fault::Router,
+            Fault::Frozen,
+            Fault::Losses,
+        ];
         let mut runs = 0;
         for fault in faults {
             for (pace, routers) in [(2, 1), (2, 9), (10, 2), (10, 9), (100, 1), (100, 9)] {
@@ -585,7 +675,13 @@
     /// 30 for four seconds, then 5 again, at a pace of 10 and a burst of 20.
     #[test]
     fn the_page_shows_this_step_response() {
-        let each = |now: u64| if (8_000..12_000).contains(&now) { 33_334 } else { 200_000 };
+        let each = |now: u64| {
+            if (8_000..12_000).contains(&now) {
+                33_334
+            } else {
+                200_000
+            }
+        };
         let seen = run(9, (10, 20), each, Fault::None, 1);
         let second = |from: u64| {
             let inside = |at: &&u64| (from..from + 1_000).contains(*at);
@@ -593,7 +689,10 @@
         };
         let row: Vec<String> = (5..15).map(|n| second(n * 1_000)).collect();
         let row = format!("| admitted | {} |", row.join(" | "));
-        assert!(include_str!("../../docs/controllers.md").contains(&row), "the page lacks {row}");
+        assert!(
+            include_str!("../../docs/controllers.md").contains(&row),
+            "the page lacks {row}"
+        );
     }
 
     /// Run by hand: `cargo test --release -p placement -- --ignored --nocapture`.
--- a/placement/src/pools.rs
+++ b/placement/src/pools.rs
@@ -11,8 +11,8 @@
 //! differences, so that a beat or an answer that is lost, late or said twice
 //! changes nothing.
 
-use std::collections::{BTreeMap, VecDeque};
 use protocol::{Demand, FrontDemand, FrontShares, Share, LATELY_MS, LEASE_MS};
+use std::collections::{BTreeMap, VecDeque};
 
 /// How long a router keeps its part without a word, counted from when it asked
 /// last. The leader keeps it for that router for as long, and a window.
@@ -82,7 +82,13 @@
         let floor = all / 2 / routers;
         // Each router's half is rounded up.
         let reborn = whole.saturating_sub(within_half(all) + routers + opening * routers);
-        Depth { floor, opening, pool: all - floor * routers, reborn, all }
+        Depth {
+            floor,
+            opening,
+            pool: all - floor * routers,
+            reborn,
+            all,
+        }
     }
 }
 
@@ -110,7 +116,11 @@
     fn told(now: u64, lately: &[u64; 4]) -> Counts {
         let mut counts = Counts::default();
         for at in (0..lately.len()).rev() {
-            let (inner, ago) = if at > 0 { (lately[at - 1], LATELY_MS[at - 1]) } else { (0, 0) };
+            let (inner, ago) = if at > 0 {
+                (lately[at - 1], LATELY_MS[at - 1])
+            } else {
+                (0, 0)
+            };
             counts.add(now.saturating_sub(ago), lately[at].saturating_sub(inner));
         }
         counts
@@ -123,7 +133,12 @@
     }
 
     fn since(&self, from: u64) -> u64 {
-        self.0.iter().rev().take_while(|(at, _)| *at >= from).map(|(_, count)| count).sum()
+        self.0
+            .iter()
+            .rev()
+            .take_while(|(at, _)| *at >= from)
+            .map(|(_, count)| count)
+            .sum()
     }
 }
 
@@ -212,13 +227,24 @@
 impl Taps {
     pub fn new(now: u64, life: u64, margin: Margin) -> Taps {
         let routers = [(now / HOLD_MS, 0), (0, 0)];
-        Taps { life, began: now, margin, taps: BTreeMap::new(), number: 0, routers }
+        Taps {
+            life,
+            began: now,
+            margin,
+            taps: BTreeMap::new(),
+            number: 0,
+            routers,
+        }
     }
 
     fn routers(&mut self, now: u64, routers: usize) -> usize {
         let span = now / HOLD_MS;
         if span > self.routers[0].0 {
-            let last = if span == self.routers[0].0 + 1 { self.routers[0].1 } else { 0 };
+            let last = if span == self.routers[0].0 + 1 {
+                self.routers[0].1
+            } else {
+                0
+            };
             self.routers = [(span, routers), (span - 1, last)];
         }
         self.routers[0].1 = self.routers[0].1.max(routers);
@@ -277,7 +303,8 @@
             tap.bucket = (tap.bucket - 1.0).max(0.0);
         }
         tap.used += 1;
-        tap.counts.forget(now.saturating_sub(LATELY_MS[3].max(window)));
+        tap.counts
+            .forget(now.saturating_sub(LATELY_MS[3].max(window)));
         tap.counts.add(now, 1);
         true
     }
@@ -310,7 +337,13 @@
         });
         let demands = demands.collect();
         let age_ms = now.saturating_sub(self.began);
-        FrontDemand { front: front.into(), life: self.life, number, age_ms, demands }
+        FrontDemand {
+            front: front.into(),
+            life: self.life,
+            number,
+            age_ms,
+            demands,
+        }
     }
 
     /// Takes the leader's answer to the beat of this number, which may be taken
@@ -323,13 +356,19 @@
         }
         let window = self.margin.window_ms;
         for share in shares {
-            let Some(tap) = self.taps.get_mut(&share.tenant) else { continue };
+            let Some(tap) = self.taps.get_mut(&share.tenant) else {
+                continue;
+            };
             if number <= tap.taken {
                 continue;
             }
             let counted = tap.counts.since(now.saturating_sub(window));
             let is_young = now < self.began + window;
-            let floor = if is_young { tap.depth.opening } else { tap.depth.floor };
+            let floor = if is_young {
+                tap.depth.opening
+            } else {
+                tap.depth.floor
+            };
             tap.taken = number;
             tap.limit = share.limit;
             tap.part = (counted + share.limit.saturating_sub(tap.used)).saturating_sub(floor);
@@ -370,12 +409,16 @@
 impl Account {
     /// What it has used in the window beyond its floor.
     fn beyond(&self, now: u64, window: u64, floor: u64) -> u64 {
-        self.counts.since(now.saturating_sub(window)).saturating_sub(floor)
+        self.counts
+            .since(now.saturating_sub(window))
+            .saturating_sub(floor)
     }
 
     fn held(&self, now: u64, window: u64, floor: u64) -> u64 {
         let given = self.given.iter().map(|(_, part, _)| *part);
-        let part = given.fold(self.part, u64::max).max(self.beyond(now, window, floor));
+        let part = given
+            .fold(self.part, u64::max)
+            .max(self.beyond(now, window, floor));
         part + self.former(now)
     }
 
@@ -384,8 +427,11 @@
         self.given.push((number, part, limit));
         if self.given.len() > GIVEN {
             let (_, part, limit) = self.given.remove(0);
-            self.given[0] =
-                (self.given[0].0, self.given[0].1.max(part), self.given[0].2.max(limit));
+            self.given[0] = (
+                self.given[0].0,
+                self.given[0].1.max(part),
+                self.given[0].2.max(limit),
+            );
         }
     }
 
@@ -398,7 +444,11 @@
     }
 
     fn open(&self) -> u64 {
-        let limit = self.given.iter().map(|(.., limit)| *limit).fold(self.limit, u64::max);
+        let limit = self
+            .given
+            .iter()
+            .map(|(.., limit)| *limit)
+            .fold(self.limit, u64::max);
         limit.saturating_sub(self.used)
     }
 }
@@ -479,10 +529,14 @@
         routers: usize,
         terms: impl Fn(&str) -> Option<(u64, u64)>,
     ) -> FrontShares {
-        let mut answer =
-            FrontShares { front: from.front.clone(), number: from.number, shares: Vec::new() };
+        let mut answer = FrontShares {
+            front: from.front.clone(),
+            number: from.number,
+            shares: Vec::new(),
+        };
         let window = self.margin.window_ms;
-        self.routers.retain(|_, router| now < router.heard + HOLD_MS + window);
+        self.routers
+            .retain(|_, router| now < router.heard + HOLD_MS + window);
         if !self.hear(now, from, routers) {
             return answer;
         }
@@ -500,19 +554,27 @@
                 continue;
             };
             let depth = self.margin.depth(rate, burst, all);
-            let pool = self.pools.entry(demand.tenant.clone()).or_insert_with(|| Pool {
-                level: depth.saved(),
-                filled: now,
-                depth,
-                wanted: (depth, now),
-                rate,
-                accounts: BTreeMap::new(),
-            });
+            let pool = self
+                .pools
+                .entry(demand.tenant.clone())
+                .or_insert_with(|| Pool {
+                    level: depth.saved(),
+                    filled: now,
+                    depth,
+                    wanted: (depth, now),
+                    rate,
+                    accounts: BTreeMap::new(),
+                });
             pool.adapt(now, rate, depth, window);
-            pool.accounts.retain(|name, _| self.routers.contains_key(name));
+            pool.accounts
+                .retain(|name, _| self.routers.contains_key(name));
             let limit = pool.answer(now, from, demand, window, readiness);
             let share = limit.map(|limit| (demand.tenant.clone(), limit));
-            answer.shares.extend(share.map(|(tenant, limit)| Share { tenant, limit, queue_ms: 0 }));
+            answer.shares.extend(share.map(|(tenant, limit)| Share {
+                tenant,
+                limit,
+                queue_ms: 0,
+            }));
         }
         answer
     }
@@ -545,7 +607,12 @@
                     // What the former life had it may have used.
                     let former = account.held(now, window, pool.depth.floor);
                     let former_until = now + window;
-                    *account = Account { life, former, former_until, ..Account::default() };
+                    *account = Account {
+                        life,
+                        former,
+                        former_until,
+                        ..Account::default()
+                    };
                 }
             }
         }
@@ -558,7 +625,11 @@
             }
             // Before that they may yet take answers of another leader.
             let settled = self.since + LEASE_MS;
-            let heard = self.routers.values().filter(|router| router.heard >= settled).count();
+            let heard = self
+                .routers
+                .values()
+                .filter(|router| router.heard >= settled)
+                .count();
             let is_long = now >= self.since + HOLD_MS + self.margin.window_ms;
             self.has_heard_all = heard >= routers && now >= settled || is_long;
         }
@@ -589,7 +660,13 @@
         window: u64,
         readiness: Readiness,
     ) -> Option<u64> {
-        let Depth { floor, opening, pool, reborn, .. } = self.depth;
+        let Depth {
+            floor,
+            opening,
+            pool,
+            reborn,
+            ..
+        } = self.depth;
         let (floor, pool) = match readiness {
             Readiness::Reborn => (opening, reborn),
             _ => (floor, pool),
@@ -619,12 +696,22 @@
         }
         // A young router has no floor yet: what it used past its opening is of its
         // part.
-        let own = if from.age_ms < window { opening.min(floor) } else { floor };
+        let own = if from.age_ms < window {
+            opening.min(floor)
+        } else {
+            floor
+        };
         let from_at = now.saturating_sub(window);
         let used = account.counts.since(from_at);
         let half_from = now.saturating_sub(window / 2);
         let used_half = account.counts.since(half_from);
-        let weigh = |asked: u64| if asked > 0 { (asked as f64 + EVEN).powf(GROWTH) } else { 0.0 };
+        let weigh = |asked: u64| {
+            if asked > 0 {
+                (asked as f64 + EVEN).powf(GROWTH)
+            } else {
+                0.0
+            }
+        };
         // What may go within half a window, of all: parts that move within it would
         // go beyond it otherwise.
         let mut half = within_half(self.depth.all) + all_accounts;
@@ -632,7 +719,11 @@
         // Parts that others keep, and what is left of the window in all.
         let mut held = account.former(now);
         let mut left = pool as i64 + own as i64 - (used + held) as i64;
-        for (_, account) in self.accounts.iter().filter(|(name, _)| **name != from.front) {
+        for (_, account) in self
+            .accounts
+            .iter()
+            .filter(|(name, _)| **name != from.front)
+        {
             held += account.held(now, window, floor);
             let most = within_half(floor + account.held(now, window, floor));
             half = half.saturating_sub(most.max(account.counts.since(half_from)));
@@ -649,7 +740,9 @@
         let room_half = (half as f64 / HALF) as u64;
         let room = (pool + own).saturating_sub(held + used);
         let room = room.min(room_half.saturating_sub(used.max(used_half)));
-        let lent = (due.round() as u64).min(room).min((level as u64).saturating_sub(open));
+        let lent = (due.round() as u64)
+            .min(room)
+            .min((level as u64).saturating_sub(open));
         let limit = demand.used + lent;
         let account = self.accounts.get_mut(&from.front).expect("entered above");
         account.give(from.number, (used + lent).saturating_sub(own), limit);
--- a/placement/tests/allowance.rs
+++ b/placement/tests/allowance.rs
@@ -2,7 +2,11 @@
 
 use placement::{Allowance, Bound};
 
-const BOUND: Bound = Bound { ratio: 0.2, window_ms: 10_000, extra: 58.0 };
+const BOUND: Bound = Bound {
+    ratio: 0.2,
+    window_ms: 10_000,
+    extra: 58.0,
+};
 
 /// Guards: retries do not grow beyond the bound, over all routers together, in any
 /// window, while routers restart and traffic swings; every job wants more rounds.
@@ -42,7 +46,10 @@
             let until = from + BOUND.window_ms;
             let most = BOUND.ratio * count(&jobs, from, until) as f64 + BOUND.extra;
             let had = count(&rounds, from, until);
-            assert!(had as f64 <= most, "seed {seed}, from {from}: {had} for {most}");
+            assert!(
+                had as f64 <= most,
+                "seed {seed}, from {from}: {had} for {most}"
+            );
         }
     }
 }
@@ -52,7 +59,10 @@
     let mut allowance = Allowance::new(BOUND);
     assert!(!allowance.spend(1, "s", 3), "no job came for it");
     allowance.earn(1, "s");
-    assert!(!allowance.spend(2, "s", 0), "how many share the extra is not known");
+    assert!(
+        !allowance.spend(2, "s", 0),
+        "how many share the extra is not known"
+    );
     assert!(allowance.spend(2, "s", 3));
     assert!(!allowance.spend(2, "other", 3));
 }
--- a/placement/tests/company.rs
+++ b/placement/tests/company.rs
@@ -31,7 +31,12 @@
 
 fn said(company: &Company) -> Vec<(String, String, bool, u8)> {
     let said = |front: &Front| {
-        (front.name.clone(), front.address.clone(), front.epoch > 0, front.is_leaving)
+        (
+            front.name.clone(),
+            front.address.clone(),
+            front.epoch > 0,
+            front.is_leaving,
+        )
     };
     company.fronts().map(said).collect()
 }
@@ -43,7 +48,9 @@
     for seed in 0..200 {
         let mut state: u64 = seed * 7_919 + 1;
         let mut draw = |below: u64| {
-            state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888);
+            state = state
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1_442_695_040_888);
             (state >> 33) % below
         };
         let (mut node, mut router) = (Company::default(), Company::default());
@@ -77,20 +84,35 @@
             let mut wanted = Company::default();
             wanted.take(&Company::default().news(there.clone(), members(nodes)));
             assert_eq!(said(&router), said(&wanted), "seed {seed}, step {step}");
-            assert_eq!(router.directories(), members(nodes), "seed {seed}, step {step}");
+            assert_eq!(
+                router.directories(),
+                members(nodes),
+                "seed {seed}, step {step}"
+            );
         }
     }
 }
 
 #[test]
 fn ages_and_epochs_are_no_news() {
-    let list = |epoch, age| (1..=350).map(|n| front(n, epoch, false, age)).collect::<Vec<_>>();
+    let list = |epoch, age| {
+        (1..=350)
+            .map(|n| front(n, epoch, false, age))
+            .collect::<Vec<_>>()
+    };
     let mut node = Company::default();
     let first = node.news(list(1, 0), members(8));
-    assert_eq!((first.is_first, first.fronts.len(), first.directories.len()), (1, 350, 8));
+    assert_eq!(
+        (first.is_first, first.fronts.len(), first.directories.len()),
+        (1, 350, 8)
+    );
     node.take(&first);
-    let nothing =
-        News { is_first: 0, fronts: Vec::new(), gone: Vec::new(), directories: Vec::new() };
+    let nothing = News {
+        is_first: 0,
+        fronts: Vec::new(),
+        gone: Vec::new(),
+        directories: Vec::new(),
+    };
     assert_eq!(node.news(list(2, 700), members(8)), nothing);
     assert_eq!(node.nothing(), nothing);
     let length = protocol::encode(&protocol::Frame::Company(nothing)).len();
--- a/placement/tests/estimates.rs
+++ b/placement/tests/estimates.rs
@@ -1,7 +1,7 @@
 //! Electing by answers alone: where a job goes, and what cold engines get.
 
-use policy::{Part, Prompt};
 use placement::{Chosen, Estimates, Wanted};
+use policy::{Part, Prompt};
 use residency::{Engine, EngineState, Event, Mapping, Name, Place, Traits, View};
 
 const SERVICE: &str = "writer";
@@ -9,7 +9,10 @@
 fn engine(name: &str, cell: &str, cold_ms: u32) -> Engine {
     Engine {
         name: name.into(),
-        address: format!("127.0.0.1:{}", 1000 + name.bytes().map(u32::from).sum::<u32>()),
+        address: format!(
+            "127.0.0.1:{}",
+            1000 + name.bytes().map(u32::from).sum::<u32>()
+        ),
         cell: cell.into(),
         services: vec![SERVICE.into()],
         slots: 8,
@@ -19,15 +22,25 @@
 }
 
 fn view(engines: &[Engine]) -> View {
-    let place = |name: &str, within: &str| Place { name: name.into(), within: within.into() };
+    let place = |name: &str, within: &str| Place {
+        name: name.into(),
+        within: within.into(),
+    };
     let mut view = View::default();
     view.take(&Event::Places {
         zones: vec![place("north-a", "north"), place("south-a", "south")],
         cells: vec![place("north-a", "north-a"), place("south-a", "south-a")],
     });
-    let traits = Traits { service: SERVICE.into(), connections: 0, warm_pace: 17, warm_ms: 3_000 };
+    let traits = Traits {
+        service: SERVICE.into(),
+        connections: 0,
+        warm_pace: 17,
+        warm_ms: 3_000,
+    };
     view.take(&Event::Services(vec![traits]));
-    engines.iter().for_each(|engine| view.take(&Event::Engine(engine.clone())));
+    engines
+        .iter()
+        .for_each(|engine| view.take(&Event::Engine(engine.clone())));
     view
 }
 
@@ -44,9 +57,21 @@
 }
 
 fn prompt(shared: u64, own: u64) -> Prompt {
-    let parts =
-        vec![Part { chain: shared, tokens: 5_000 }, Part { chain: shared ^ own, tokens: 6_000 }];
-    Prompt { parts, tokens_in: 11_000, tokens_out: 300 }
+    let parts = vec![
+        Part {
+            chain: shared,
+            tokens: 5_000,
+        },
+        Part {
+            chain: shared ^ own,
+            tokens: 6_000,
+        },
+    ];
+    Prompt {
+        parts,
+        tokens_in: 11_000,
+        tokens_out: 300,
+    }
 }
 
 fn chosen(
@@ -56,7 +81,11 @@
     prompt: &Prompt,
     avoid: &[String],
 ) -> Option<String> {
-    let wanted = Wanted { prompt, prefix: prompt.prefix(), avoid };
+    let wanted = Wanted {
+        prompt,
+        prefix: prompt.prefix(),
+        avoid,
+    };
     match estimates.elect(now, view, &mapping(), &wanted, 1, &[1]) {
         Chosen::Engine { name, .. } => Some(name),
         _ => None,
@@ -87,7 +116,10 @@
         estimates.sent(1_200, &first, &prompt(9, 100 + own));
     }
     let third = chosen(&mut estimates, 1_200, &view, &prompt(7, 3), &[]).expect("two are free");
-    assert_ne!(third, first, "a long queue of prompts outweighs what is kept");
+    assert_ne!(
+        third, first,
+        "a long queue of prompts outweighs what is kept"
+    );
     assert_ne!(third, "far");
 }
 
@@ -98,16 +130,26 @@
     estimates.follow(1_000, &view);
     let (none, job) = (Vec::new(), prompt(3, 1));
     estimates.failed(1_000, "a");
-    assert_eq!(chosen(&mut estimates, 1_001, &view, &job, &none).as_deref(), Some("b"));
+    assert_eq!(
+        chosen(&mut estimates, 1_001, &view, &job, &none).as_deref(),
+        Some("b")
+    );
     estimates.declined(1_001, "b");
     let last = chosen(&mut estimates, 1_002, &view, &job, &none);
-    assert!(last.is_some(), "one of the suspects is better than a refusal");
+    assert!(
+        last.is_some(),
+        "one of the suspects is better than a refusal"
+    );
     let been = vec!["a".to_string(), "b".to_string()];
     assert_eq!(chosen(&mut estimates, 1_002, &view, &job, &been), None);
     // When its time has come it is looked at, and gets work when it was reached.
     assert!(estimates.suspects(1_100).is_empty(), "not yet");
     let due = estimates.suspects(3_000);
-    assert_eq!(due.len(), 1, "the one that failed, not the one that was full");
+    assert_eq!(
+        due.len(),
+        1,
+        "the one that failed, not the one that was full"
+    );
     estimates.reached("a");
     assert!(estimates.suspects(3_001).is_empty());
     // A life that ended is another engine; nothing of it is carried over.
@@ -115,7 +157,10 @@
     next.take(&Event::EngineGone(Name("a".into())));
     next.take(&Event::Engine(engine("a2", "north-a", 0)));
     assert_eq!(estimates.follow(1_010, &next), vec!["a".to_string()]);
-    assert_eq!(chosen(&mut estimates, 1_011, &next, &job, &none).as_deref(), Some("a2"));
+    assert_eq!(
+        chosen(&mut estimates, 1_011, &next, &job, &none).as_deref(),
+        Some("a2")
+    );
 }
 
 /// Guards: a cold engine is not flooded, summed over all routers. Every router
@@ -124,17 +169,24 @@
 fn cold_engines_keep_to_their_pace_over_a_fleet() {
     for (fleet, differ) in [(1usize, 0usize), (9, 1), (74, 4)] {
         let cold = view(&[engine("a", "north-a", 3_000)]);
-        let peers: Vec<u64> =
-            (1..=fleet as u64).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
+        let peers: Vec<u64> = (1..=fleet as u64)
+            .map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+            .collect();
         let mut routers: Vec<Estimates> = (0..fleet).map(|_| Estimates::default()).collect();
-        routers.iter_mut().for_each(|router| drop(router.follow(10_000, &cold)));
+        routers
+            .iter_mut()
+            .for_each(|router| drop(router.follow(10_000, &cold)));
         let mut begun: Vec<u64> = Vec::new();
         let job = prompt(5, 1);
         for now in 10_000..13_000u64 {
             for (at, router) in routers.iter_mut().enumerate() {
                 // Not all have heard of the newest routers.
                 let known = &peers[..fleet - if at % 2 == 0 { differ } else { 0 }];
-                let wanted = Wanted { prompt: &job, prefix: 5, avoid: &[] };
+                let wanted = Wanted {
+                    prompt: &job,
+                    prefix: 5,
+                    avoid: &[],
+                };
                 let chosen = router.elect(now, &cold, &mapping(), &wanted, peers[at], known);
                 if matches!(chosen, Chosen::Engine { .. }) {
                     router.release("a");
@@ -144,7 +196,10 @@
         }
         assert!(begun.len() >= 30, "{fleet}: it gets work: {}", begun.len());
         for (n, from) in begun.iter().enumerate() {
-            let within = begun[n..].iter().take_while(|at| **at < from + 1_000).count();
+            let within = begun[n..]
+                .iter()
+                .take_while(|at| **at < from + 1_000)
+                .count();
             assert!(within <= 30, "{fleet}: {within} within a second");
         }
     }
@@ -174,8 +229,11 @@
 /// filled, and to one that another router has warmed.
 #[test]
 fn what_others_have_at_engines_and_what_is_kept_there_counts() {
-    let view =
-        view(&[engine("a", "north-a", 0), engine("b", "north-a", 0), engine("far", "south-a", 0)]);
+    let view = view(&[
+        engine("a", "north-a", 0),
+        engine("b", "north-a", 0),
+        engine("far", "south-a", 0),
+    ]);
     let (mut one, mut two) = (Estimates::default(), Estimates::default());
     one.follow(1_000, &view);
     two.follow(1_000, &view);
@@ -183,7 +241,11 @@
     let (expected, tokens) = one.sent(1_000, &first, &prompt(7, 1));
     let news = one.news(1_010);
     assert_eq!(news.loads, vec![(first.clone(), 1, 11_000)]);
-    assert_eq!(news.kept, vec![(first.clone(), 7)], "the shared part, not the job's own");
+    assert_eq!(
+        news.kept,
+        vec![(first.clone(), 7)],
+        "the shared part, not the job's own"
+    );
     assert!(one.news(1_020).is_empty(), "said once");
     two.told(1_030, "one", &news);
     // Reading 11,000 tokens there takes a tenth of a second, less than what reading
@@ -191,7 +253,10 @@
     let warm = chosen(&mut two, 1_040, &view, &prompt(7, 2), &[]).expect("all are free");
     assert_eq!(warm, first);
     let other = chosen(&mut two, 1_040, &view, &prompt(99, 2), &[]).expect("all are free");
-    assert_ne!(other, first, "what has nothing kept there goes past the queue");
+    assert_ne!(
+        other, first,
+        "what has nothing kept there goes past the queue"
+    );
     one.read(&first, tokens);
     one.began(1_100, &first, expected, 100);
     one.release(&first);
@@ -200,8 +265,18 @@
     // A part that is kept far away alone is worth the way.
     let mut far = Estimates::default();
     far.follow(1_000, &view);
-    far.told(1_000, "one", &placement::News { loads: vec![], kept: vec![("far".into(), 7)] });
-    assert_eq!(chosen(&mut far, 1_010, &view, &prompt(7, 3), &[]).as_deref(), Some("far"));
+    far.told(
+        1_000,
+        "one",
+        &placement::News {
+            loads: vec![],
+            kept: vec![("far".into(), 7)],
+        },
+    );
+    assert_eq!(
+        chosen(&mut far, 1_010, &view, &prompt(7, 3), &[]).as_deref(),
+        Some("far")
+    );
     let long = 1_000 + 30_000;
     let near = chosen(&mut far, long, &view, &prompt(7, 3), &[]).expect("all are free");
     assert_ne!(near, "far", "what was not told of again is taken for lost");
--- a/placement/tests/pools.rs
+++ b/placement/tests/pools.rs
@@ -3,7 +3,11 @@
 use placement::{Margin, Pools, Taps, OPENING};
 use protocol::{FrontDemand, FrontShares, LEASE_MS};
 
-const MARGIN: Margin = Margin { overrun: 1.1, extra: 20.0, window_ms: 5_000 };
+const MARGIN: Margin = Margin {
+    overrun: 1.1,
+    extra: 20.0,
+    window_ms: 5_000,
+};
 const STEP_MS: u64 = 5;
 const BEAT_MS: u64 = 350;
 /// Traffic begins once a fleet that was started all at once has settled.
@@ -82,7 +86,9 @@
     let Plan { routers, rate, .. } = plan;
     let mut draw = draws(plan.seed + 1);
     let mut lives = routers as u64;
-    let mut fleet: Vec<Taps> = (0..routers).map(|at| Taps::new(0, at as u64 + 1, MARGIN)).collect();
+    let mut fleet: Vec<Taps> = (0..routers)
+        .map(|at| Taps::new(0, at as u64 + 1, MARGIN))
+        .collect();
     let mut numbers = vec![0; routers];
     let mut next: Vec<u64> = (0..routers).map(|_| draw(plan.beat_ms)).collect();
     let mut frozen = vec![0; routers];
@@ -94,8 +100,11 @@
     let mut down: Vec<(u64, usize, u64, FrontShares)> = Vec::new();
     // Between a sixth and a twelfth each, for nine: one part to two.
     let weights: Vec<u64> = (0..routers).map(|_| 100 + draw(101)).collect();
-    let weights: Vec<u64> =
-        if routers == 9 { vec![166, 84, 84, 166, 84, 84, 110, 84, 138] } else { weights };
+    let weights: Vec<u64> = if routers == 9 {
+        vec![166, 84, 84, 166, 84, 84, 110, 84, 138]
+    } else {
+        weights
+    };
     let sum: u64 = weights.iter().sum();
     let (mut due, mut fault) = (BEGIN_MS as f64, BEGIN_MS + 2_000);
     let mut seen = Seen::default();
@@ -108,7 +117,12 @@
             _ => rate,
         };
         if now >= fault && plan.faults != Faults::None {
-            fault = now + if plan.faults == Faults::All { 500 + draw(5_000) } else { 6_500 };
+            fault = now
+                + if plan.faults == Faults::All {
+                    500 + draw(5_000)
+                } else {
+                    6_500
+                };
             let kind = match plan.faults {
                 Faults::None => continue,
                 Faults::Freezes => 0,
@@ -123,13 +137,19 @@
             match kind {
                 0 => {
                     let until = now + 500 + draw(6_000);
-                    third.take(1 + draw(routers as u64) as usize).for_each(|at| frozen[at] = until);
+                    third
+                        .take(1 + draw(routers as u64) as usize)
+                        .for_each(|at| frozen[at] = until);
                 }
                 1 => third.for_each(|at| cut[at] = now + 6_000),
                 2 => {
                     for at in third.take(1 + draw(2) as usize) {
                         lives += 1;
-                        let began = if plan.guard == Guard::YoungFloors { 0 } else { now };
+                        let began = if plan.guard == Guard::YoungFloors {
+                            0
+                        } else {
+                            now
+                        };
                         fleet[at] = Taps::new(began, lives, MARGIN);
                         (numbers[at], waiting[at], frozen[at]) = (0, 0, 0);
                         if plan.guard == Guard::Connections {
@@ -144,7 +164,11 @@
                 5 => {
                     for at in 0..routers {
                         lives += 1;
-                        let began = if plan.guard == Guard::YoungFloors { 0 } else { now };
+                        let began = if plan.guard == Guard::YoungFloors {
+                            0
+                        } else {
+                            now
+                        };
                         fleet[at] = Taps::new(began, lives, MARGIN);
                         (numbers[at], waiting[at], frozen[at]) = (0, 0, 0);
                     }
@@ -180,15 +204,19 @@
                 continue;
             }
             if plan.guard == Guard::Parts {
-                demand.demands.iter_mut().for_each(|demand| demand.waiting = 0);
+                demand
+                    .demands
+                    .iter_mut()
+                    .for_each(|demand| demand.waiting = 0);
             }
             let answer = pools.answer(now, &demand, routers, |_| Some((rate_now, rate_now)));
             if draw(20) > 0 {
                 down.push((now + 20 + draw(131), at, asked, answer));
             }
         }
-        let (come, later): (Vec<_>, Vec<_>) =
-            down.into_iter().partition(|(at, router, ..)| *at <= now && now >= frozen[*router]);
+        let (come, later): (Vec<_>, Vec<_>) = down
+            .into_iter()
+            .partition(|(at, router, ..)| *at <= now && now >= frozen[*router]);
         down = later;
         for (_, at, asked, answer) in come {
             if now >= cut[at] {
@@ -211,13 +239,15 @@
             }
             let mut pick = || {
                 let mut drawn = draw(sum);
-                weights.iter().position(|weight| match drawn.checked_sub(*weight) {
-                    Some(left) => {
-                        drawn = left;
-                        false
-                    }
-                    None => true,
-                })
+                weights
+                    .iter()
+                    .position(|weight| match drawn.checked_sub(*weight) {
+                        Some(left) => {
+                            drawn = left;
+                            false
+                        }
+                        None => true,
+                    })
             };
             let mut at = pick().expect("below the sum");
             for n in 0..3 {
@@ -247,22 +277,39 @@
     let refill = (rate * MARGIN.window_ms) as f64 / 1_000.0;
     let most = (refill + rate as f64) * MARGIN.overrun + MARGIN.extra;
     let mut first = 0;
-    let inside = admitted.iter().enumerate().filter(|(_, at)| **at >= from).map(|(n, at)| {
-        while admitted[first] + MARGIN.window_ms <= *at || admitted[first] < from {
-            first += 1;
-        }
-        n + 1 - first
-    });
+    let inside = admitted
+        .iter()
+        .enumerate()
+        .filter(|(_, at)| **at >= from)
+        .map(|(n, at)| {
+            while admitted[first] + MARGIN.window_ms <= *at || admitted[first] < from {
+                first += 1;
+            }
+            n + 1 - first
+        });
     inside.max().unwrap_or(0) as f64 / most
 }
 
 fn plan(routers: usize, rate: u64, traffic: Traffic, faults: Faults, seed: u64) -> Plan {
     let (lowered, guard, beat_ms) = (None, Guard::Kept, BEAT_MS);
-    Plan { routers, rate, traffic, faults, lowered, guard, beat_ms, seed }
+    Plan {
+        routers,
+        rate,
+        traffic,
+        faults,
+        lowered,
+        guard,
+        beat_ms,
+        seed,
+    }
 }
 
-const TRAFFIC: [Traffic; 4] =
-    [Traffic::Within, Traffic::Lumps, Traffic::Threefold, Traffic::Floods];
+const TRAFFIC: [Traffic; 4] = [
+    Traffic::Within,
+    Traffic::Lumps,
+    Traffic::Threefold,
+    Traffic::Floods,
+];
 const FAULTS: [Faults; 7] = [
     Faults::None,
     Faults::Freezes,
@@ -292,11 +339,17 @@
     for plan in plans {
         let seen = run(plan);
         let part = worst(&seen.admitted, 0, plan.rate);
-        assert!(part <= bound(&plan) + 1e-9, "{plan:?}: {part:.3} of what may be");
+        assert!(
+            part <= bound(&plan) + 1e-9,
+            "{plan:?}: {part:.3} of what may be"
+        );
         most = part.max(most);
         (refused, admitted) = (refused + seen.refused, admitted + seen.admitted.len());
     }
-    (most, refused as f64 * 1_000.0 / (refused + admitted as u64).max(1) as f64)
+    (
+        most,
+        refused as f64 * 1_000.0 / (refused + admitted as u64).max(1) as f64,
+    )
 }
 
 /// Guards: no window passes the margin, whatever befalls a fleet of nine.
@@ -318,7 +371,10 @@
         (Traffic::Threefold, Faults::Wholesale),
         (Traffic::Floods, Faults::All),
     ] {
-        let fast = |seed| Plan { beat_ms: 100, ..plan(9, 100, traffic, faults, seed) };
+        let fast = |seed| Plan {
+            beat_ms: 100,
+            ..plan(9, 100, traffic, faults, seed)
+        };
         sweep((0..8).map(fast));
     }
 }
@@ -327,7 +383,12 @@
 #[test]
 fn many_routers_keep_the_margin() {
     for traffic in [Traffic::Threefold, Traffic::Floods] {
-        for faults in [Faults::CutOffs, Faults::Restarts, Faults::Leaders, Faults::All] {
+        for faults in [
+            Faults::CutOffs,
+            Faults::Restarts,
+            Faults::Leaders,
+            Faults::All,
+        ] {
             for rate in [2, 10, 100] {
                 sweep((0..2).map(|seed| plan(74, rate, traffic, faults, seed)));
             }
@@ -340,7 +401,10 @@
 fn a_lowered_rate_binds() {
     let mut most: f64 = 0.0;
     for (seed, faults) in (0..6).flat_map(|seed| FAULTS.map(|faults| (seed, faults))) {
-        let plan = Plan { lowered: Some(60_000), ..plan(9, 100, Traffic::Threefold, faults, seed) };
+        let plan = Plan {
+            lowered: Some(60_000),
+            ..plan(9, 100, Traffic::Threefold, faults, seed)
+        };
         let part = worst(&run(plan).admitted, 63_000, 20);
         assert!(part <= 1.0, "{plan:?}: {part:.3} of what may be");
         most = most.max(part);
@@ -352,7 +416,14 @@
 /// Guards: a tenant at 1/1.6 of its rate is refused no more than the page says.
 #[test]
 fn within_its_quota_little_is_refused() {
-    for (rate, most) in [(2, 25.0), (5, 40.0), (10, 36.0), (20, 15.0), (40, 5.0), (100, 1.0)] {
+    for (rate, most) in [
+        (2, 25.0),
+        (5, 40.0),
+        (10, 36.0),
+        (20, 15.0),
+        (40, 5.0),
+        (100, 1.0),
+    ] {
         let plans = (0..20).map(|seed| plan(9, rate, Traffic::Within, Faults::None, seed));
         let (_, refused) = sweep(plans);
         assert!(refused <= most, "rate {rate}: {refused:.1} of a thousand");
@@ -368,10 +439,16 @@
         (Guard::YoungFloors, Faults::Wholesale),
         (Guard::Parts, Faults::Leaders),
     ] {
-        let plan = |seed| Plan { guard, ..plan(9, 40, Traffic::Floods, faults, seed) };
+        let plan = |seed| Plan {
+            guard,
+            ..plan(9, 40, Traffic::Floods, faults, seed)
+        };
         let part = |seed| worst(&run(plan(seed)).admitted, 0, 40);
         let most = (0..10).map(part).fold(0.0, f64::max);
-        assert!(most > bound(&plan(0)) + 1e-9, "{guard:?}: only {most:.3} of what may be");
+        assert!(
+            most > bound(&plan(0)) + 1e-9,
+            "{guard:?}: only {most:.3} of what may be"
+        );
     }
 }
 
@@ -382,12 +459,17 @@
     for (routers, seeds, beat_ms) in [(74, 4, BEAT_MS), (9, 20, BEAT_MS), (9, 20, 100)] {
         for (traffic, faults) in TRAFFIC.iter().flat_map(|t| FAULTS.map(|f| (*t, f))) {
             let figures = [2, 5, 10, 20, 40, 100].map(|rate| {
-                let plans = (0..seeds)
-                    .map(|seed| Plan { beat_ms, ..plan(routers, rate, traffic, faults, seed) });
+                let plans = (0..seeds).map(|seed| Plan {
+                    beat_ms,
+                    ..plan(routers, rate, traffic, faults, seed)
+                });
                 let (most, refused) = sweep(plans);
                 format!("{rate}/s {most:.3} {refused:.1}")
             });
-            println!("{routers} beat {beat_ms} {traffic:?} {faults:?}: {}", figures.join(" | "));
+            println!(
+                "{routers} beat {beat_ms} {traffic:?} {faults:?}: {}",
+                figures.join(" | ")
+            );
         }
     }
 }
@@ -406,12 +488,28 @@
     let young = |now: u64, jobs: u64| burst(&mut Taps::new(0, 7, MARGIN), now, jobs);
     assert_eq!(young(0, 50), 8, "its opening, at once");
     let mut taps = Taps::new(0, 7, MARGIN);
-    assert_eq!(burst(&mut taps, 4_500, 50) + burst(&mut taps, 4_999, 50), 8, "no more");
+    assert_eq!(
+        burst(&mut taps, 4_500, 50) + burst(&mut taps, 4_999, 50),
+        8,
+        "no more"
+    );
     let unknown = taps.admit(20_000, "other", 2, 2, 1);
     assert!(unknown && !Taps::new(0, 8, MARGIN).admit(20_000, "t", 2, 2, 0));
     let cases: [(&str, u64, bool, bool, usize); 3] = [
-        ("a router without a word has its floor", 20_000, false, false, 9),
-        ("with a word it has all but the opening", 20_000, true, false, 18),
+        (
+            "a router without a word has its floor",
+            20_000,
+            false,
+            false,
+            9,
+        ),
+        (
+            "with a word it has all but the opening",
+            20_000,
+            true,
+            false,
+            18,
+        ),
         ("a late word is none", 20_000, true, true, 9),
     ];
     for (what, now, is_answered, is_late, admitted) in cases {
@@ -425,23 +523,37 @@
             taps.take(now, number(&demand), until, &answer.shares);
         }
         assert_eq!(before + burst(&mut taps, now, 50), admitted, "{what}");
-        assert_eq!(burst(&mut taps, now + 900, 50), 0, "{what}: the window is full");
+        assert_eq!(
+            burst(&mut taps, now + 900, 50),
+            0,
+            "{what}: the window is full"
+        );
     }
 
     let (mut taps, mut pools) = (Taps::new(0, 7, MARGIN), Pools::new(0, MARGIN));
-    assert!(taps.demands(9_000, "a", 1).demands.is_empty(), "nobody asked");
+    assert!(
+        taps.demands(9_000, "a", 1).demands.is_empty(),
+        "nobody asked"
+    );
     assert_eq!(burst(&mut taps, 10_000, 1), 1);
     let demand = taps.demands(10_000, "a", 2);
     let first = pools.answer(10_050, &demand, 1, terms);
     assert_eq!(first.shares.len(), 1);
-    assert!(pools.answer(10_060, &demand, 1, terms).shares.is_empty(), "said twice");
+    assert!(
+        pools.answer(10_060, &demand, 1, terms).shares.is_empty(),
+        "said twice"
+    );
     taps.take(10_100, 2, 12_000, &first.shares);
     // It says so for a minute, gives its part back, and is silent once that is
     // known.
     assert_eq!(taps.demands(60_000, "a", 3).demands.len(), 1);
     let back = taps.demands(70_100, "a", 4);
     assert_eq!((back.demands[0].waiting, back.demands[0].ahead), (0, 0));
-    assert_eq!(taps.demands(70_450, "a", 5).demands.len(), 1, "not yet known");
+    assert_eq!(
+        taps.demands(70_450, "a", 5).demands.len(),
+        1,
+        "not yet known"
+    );
     let answer = pools.answer(70_500, &back, 1, terms);
     taps.take(70_550, 4, 72_100, &answer.shares);
     assert!(taps.demands(70_800, "a", 6).demands.is_empty());
@@ -455,7 +567,10 @@
             let demand = taps.demands(now, front, number);
             let answer = pools.answer(now, &demand, 2, terms);
             taps.take(now, number, now + LEASE_MS, &answer.shares);
-            answer.shares.first().map_or(0, |share| share.limit - demand.demands[0].used)
+            answer
+                .shares
+                .first()
+                .map_or(0, |share| share.limit - demand.demands[0].used)
         };
         let [one, other] = &mut fleet;
         other.admit(9_000, "t", 2, 2, 2);
@@ -467,6 +582,10 @@
             pools.leave(11_000, "b");
         }
         let after = ask(one, &mut pools, 30_000, "a", 3);
-        assert_eq!(after > before + lent / 3, has_left, "{before}, then {after}");
+        assert_eq!(
+            after > before + lent / 3,
+            has_left,
+            "{before}, then {after}"
+        );
     }
 }
--- a/policy/src/body.rs
+++ b/policy/src/body.rs
@@ -73,7 +73,11 @@
                 let known = std::str::from_utf8(&self.text[start..self.at]).is_ok_and(|word| {
                     matches!(word, "true" | "false" | "null") || word.parse::<f64>().is_ok()
                 });
-                return if known { Ok((start, self.at)) } else { Err(Stop::Bad(start)) };
+                return if known {
+                    Ok((start, self.at))
+                } else {
+                    Err(Stop::Bad(start))
+                };
             }
             self.at += 1;
         }
@@ -118,7 +122,11 @@
     fn seek(&mut self, path: &[String]) -> Result<bool, Stop> {
         for (depth, name) in path.iter().enumerate() {
             if self.peek()? != b'{' {
-                return if depth == 0 { Err(Stop::Bad(self.at)) } else { Ok(false) };
+                return if depth == 0 {
+                    Err(Stop::Bad(self.at))
+                } else {
+                    Ok(false)
+                };
             }
             self.at += 1;
             if self.peek()? == b'}' {
@@ -162,11 +170,17 @@
         }
     };
     match look() {
-        Ok(Some((from, to))) => Find::Found { raw: text[from..to].to_vec(), whole: true },
+        Ok(Some((from, to))) => Find::Found {
+            raw: text[from..to].to_vec(),
+            whole: true,
+        },
         Ok(None) => Find::Absent,
         Err(Stop::Bad(at)) => Find::Malformed(at),
         Err(Stop::End) if ended => Find::Malformed(text.len()),
-        Err(Stop::End) if start > 0 => Find::Found { raw: text[start..].to_vec(), whole: false },
+        Err(Stop::End) if start > 0 => Find::Found {
+            raw: text[start..].to_vec(),
+            whole: false,
+        },
         Err(Stop::End) => Find::More,
     }
 }
@@ -177,10 +191,18 @@
 
     #[test]
     fn fields_are_found_in_whole_and_partial_bodies() {
-        let found = |raw: &str, whole| Find::Found { raw: raw.into(), whole };
+        let found = |raw: &str, whole| Find::Found {
+            raw: raw.into(),
+            whole,
+        };
         let cases: Vec<(&str, &str, bool, Find)> = vec![
             (r#"{"model":"a"}"#, "model", true, found("a", true)),
-            (r#"{"x":[1,{"model":"no"}],"model":"a""#, "model", false, found("a", true)),
+            (
+                r#"{"x":[1,{"model":"no"}],"model":"a""#,
+                "model",
+                false,
+                found("a", true),
+            ),
             (r#"{"a":{"k":"v"}}"#, "a.k", true, found("v", true)),
             (r#"{"a":7}"#, "a", true, found("7", true)),
             (r#"{"a":"par"#, "a", false, found("par", false)),
@@ -204,7 +226,10 @@
     #[test]
     fn endless_nesting_is_refused_at_the_bound() {
         let text = format!("{{\"b\":{}", "[".repeat(1000));
-        assert!(matches!(find(text.as_bytes(), &["a".into()], false), Find::Malformed(_)));
+        assert!(matches!(
+            find(text.as_bytes(), &["a".into()], false),
+            Find::Malformed(_)
+        ));
     }
 
     proptest::proptest! {
--- a/policy/src/compile.rs
+++ b/policy/src/compile.rs
@@ -15,7 +15,11 @@
 
 impl fmt::Display for Complaint {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "line {}, column {}: {}", self.line, self.column, self.text)
+        write!(
+            f,
+            "line {}, column {}: {}",
+            self.line, self.column, self.text
+        )
     }
 }
 
@@ -85,17 +89,32 @@
                     word.push(c);
                 }
             }
-            words.push(Word { text: word, quoted, column });
+            words.push(Word {
+                text: word,
+                quoted,
+                column,
+            });
         }
-        Ok(Line { number, words, next: 0, end: text.chars().count() + 1 })
+        Ok(Line {
+            number,
+            words,
+            next: 0,
+            end: text.chars().count() + 1,
+        })
     }
 
     fn complaint<T>(&self, column: usize, text: impl Into<String>) -> Checked<T> {
-        Err(Complaint { line: self.number, column, text: text.into() })
+        Err(Complaint {
+            line: self.number,
+            column,
+            text: text.into(),
+        })
     }
 
     fn column(&self) -> usize {
-        self.words.get(self.next).map_or(self.end, |word| word.column)
+        self.words
+            .get(self.next)
+            .map_or(self.end, |word| word.column)
     }
 
     /// Complains about the word taken last.
@@ -105,7 +124,10 @@
 
     fn take(&mut self, wanted: &str) -> Checked<&Word> {
         if self.next == self.words.len() {
-            return self.complaint(self.end, format!("the line ends where {wanted} should stand"));
+            return self.complaint(
+                self.end,
+                format!("the line ends where {wanted} should stand"),
+            );
         }
         self.next += 1;
         Ok(&self.words[self.next - 1])
@@ -150,7 +172,10 @@
 
     fn share(&mut self) -> Checked<f64> {
         let word = self.word("a percentage")?;
-        match word.strip_suffix('%').and_then(|digits| digits.parse::<u32>().ok()) {
+        match word
+            .strip_suffix('%')
+            .and_then(|digits| digits.parse::<u32>().ok())
+        {
             Some(share) if share <= 100 => Ok(f64::from(share) / 100.0),
             _ => self.about("a percentage from 0% to 100% should stand here"),
         }
@@ -219,7 +244,12 @@
         }
         false => None,
     };
-    Ok(Door { name, at, tenant, model })
+    Ok(Door {
+        name,
+        at,
+        tenant,
+        model,
+    })
 }
 
 fn route(line: &mut Line, program: &Program) -> Checked<Route> {
@@ -233,7 +263,10 @@
         return line.about(format!("no door {on} stands above this line"));
     };
     let method = line.word("a method or `any`")?;
-    if !matches!(method.as_str(), "GET" | "HEAD" | "POST" | "PUT" | "PATCH" | "DELETE" | "any") {
+    if !matches!(
+        method.as_str(),
+        "GET" | "HEAD" | "POST" | "PUT" | "PATCH" | "DELETE" | "any"
+    ) {
         return line.about("a method is GET, HEAD, POST, PUT, PATCH, DELETE or any");
     }
     let path = line.path()?;
@@ -292,7 +325,10 @@
             "size" => route.size = Some(line.cheap_source()?),
             "homes" => {
                 let homes = line.text("regions with commas between")?;
-                route.homes = homes.split(',').map(|home| home.trim().to_string()).collect();
+                route.homes = homes
+                    .split(',')
+                    .map(|home| home.trim().to_string())
+                    .collect();
             }
             "urgency" => route.urgency = Some(line.count("an urgency", 10)? as u8 - 1),
             "rounds" => route.rounds = Some(line.count("a count", 16)? as u32),
@@ -357,8 +393,12 @@
 /// complaint is returned and nothing is.
 pub fn compile(text: &str) -> Result<Program, Vec<Complaint>> {
     let hosts = HashMap::new();
-    let mut program =
-        Program { doors: Vec::new(), routes: Vec::new(), points: SetPoints::default(), hosts };
+    let mut program = Program {
+        doors: Vec::new(),
+        routes: Vec::new(),
+        points: SetPoints::default(),
+        hosts,
+    };
     let mut complaints = Vec::new();
     for (place, text) in text.lines().enumerate() {
         let mut statement = || -> Checked<()> {
@@ -389,7 +429,11 @@
     }
     if program.points.fresh_ms > program.points.expire_ms {
         let text = "`fresh` is longer than `expire`".into();
-        complaints.push(Complaint { line: 1, column: 1, text });
+        complaints.push(Complaint {
+            line: 1,
+            column: 1,
+            text,
+        });
     }
     for (at, route) in program.routes.iter().enumerate() {
         if let Some(host) = &route.host {
@@ -397,7 +441,10 @@
         }
     }
     let routes = &program.routes;
-    program.hosts.values_mut().for_each(|of| of.sort_by_key(|at| Reverse(routes[*at].path.len())));
+    program
+        .hosts
+        .values_mut()
+        .for_each(|of| of.sort_by_key(|at| Reverse(routes[*at].path.len())));
     match complaints.is_empty() {
         true => Ok(program),
         false => Err(complaints),
--- a/policy/src/extract.rs
+++ b/policy/src/extract.rs
@@ -47,7 +47,10 @@
 
 /// The digest under which a tenant key is kept and compared.
 pub fn fingerprint(key: &str) -> String {
-    Sha256::digest(key.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
+    Sha256::digest(key.as_bytes())
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
 
 /// A number for a text, to rank and compare by. All processes draw alike.
@@ -83,7 +86,15 @@
 pub(crate) fn read_cheap(source: &Source, head: &Head) -> Option<String> {
     match source {
         Source::Header(name) => (head.header)(name),
-        _ => match read(source, head, &Body { text: &[], ended: true, may_grow: false }) {
+        _ => match read(
+            source,
+            head,
+            &Body {
+                text: &[],
+                ended: true,
+                may_grow: false,
+            },
+        ) {
             Field::Known(text) => Some(text),
             _ => None,
         },
@@ -95,11 +106,16 @@
         Source::Header(name) => (head.header)(name),
         Source::Bearer => (head.header)("authorization").and_then(|value| {
             let (scheme, token) = value.split_once(' ')?;
-            scheme.eq_ignore_ascii_case("bearer").then(|| token.trim().to_string())
+            scheme
+                .eq_ignore_ascii_case("bearer")
+                .then(|| token.trim().to_string())
         }),
-        Source::Segment(place) => {
-            head.path.split('/').filter(|part| !part.is_empty()).nth(place - 1).and_then(unescaped)
-        }
+        Source::Segment(place) => head
+            .path
+            .split('/')
+            .filter(|part| !part.is_empty())
+            .nth(place - 1)
+            .and_then(unescaped),
         Source::Query(name) => head.query.split('&').find_map(|pair| {
             let (left, right) = pair.split_once('=')?;
             (left == name).then(|| unescaped(right))?
@@ -179,6 +195,10 @@
             (Target::Model, Some(source)) => read(source, head, &body),
             (Target::Model, None) => Field::Missing,
         };
-        Extract { tenant: read(&door.tenant, head, &body), service, prefix }
+        Extract {
+            tenant: read(&door.tenant, head, &body),
+            service,
+            prefix,
+        }
     }
 }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -112,7 +112,12 @@
 
 impl Default for SetPoints {
     fn default() -> Self {
-        SetPoints { fill: 0.8, retries: 0.2, fresh_ms: 5 * 60_000, expire_ms: 24 * 3_600_000 }
+        SetPoints {
+            fill: 0.8,
+            retries: 0.2,
+            fresh_ms: 5 * 60_000,
+            expire_ms: 24 * 3_600_000,
+        }
     }
 }
 
@@ -139,12 +144,17 @@
         if !self.hosts.is_empty() {
             let host = (head.header)("host").unwrap_or_default();
             let host = host.rsplit_once(':').map_or(&*host, |(name, _)| name);
-            let listed = self.hosts.get(host).or_else(|| self.hosts.get(&host.to_lowercase()));
+            let listed = self
+                .hosts
+                .get(host)
+                .or_else(|| self.hosts.get(&host.to_lowercase()));
             let found = listed.and_then(|of| of.iter().find(|at| fits(&self.routes[**at])));
             if found.is_some() {
                 return found.copied();
             }
         }
-        self.routes.iter().position(|route| route.host.is_none() && fits(route))
+        self.routes
+            .iter()
+            .position(|route| route.host.is_none() && fits(route))
     }
 }
--- a/policy/src/prompt.rs
+++ b/policy/src/prompt.rs
@@ -38,11 +38,21 @@
     let mut parts: Vec<Part> = Vec::new();
     let mut before = 0;
     for item in text.split(',').take(MOST) {
-        let Some((id, tokens)) = item.trim().split_once(':') else { break };
-        let Ok(tokens) = tokens.trim().parse() else { break };
+        let Some((id, tokens)) = item.trim().split_once(':') else {
+            break;
+        };
+        let Ok(tokens) = tokens.trim().parse() else {
+            break;
+        };
         let id = u64::from_str_radix(id, 16).unwrap_or_else(|_| mark(id.as_bytes()));
-        before = (before ^ id).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29) | 1;
-        parts.push(Part { chain: before, tokens });
+        before = (before ^ id)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            .rotate_left(29)
+            | 1;
+        parts.push(Part {
+            chain: before,
+            tokens,
+        });
     }
     parts
 }
@@ -50,13 +60,25 @@
 impl Program {
     /// What the head of a job on `route` says of its prompt.
     pub fn prompt(&self, route: &Route, head: &Head) -> Prompt {
-        let listed = route.parts.as_ref().and_then(|source| read_cheap(source, head));
+        let listed = route
+            .parts
+            .as_ref()
+            .and_then(|source| read_cheap(source, head));
         let parts = listed.map_or(Vec::new(), |text| parts(&text));
-        let size = route.size.as_ref().and_then(|source| read_cheap(source, head));
+        let size = route
+            .size
+            .as_ref()
+            .and_then(|source| read_cheap(source, head));
         let size = size.as_deref().and_then(|text| text.split_once(','));
         let number = |text: &str| text.trim().parse().unwrap_or(0);
-        let all: u32 = parts.iter().fold(0, |sum, part| sum.saturating_add(part.tokens));
+        let all: u32 = parts
+            .iter()
+            .fold(0, |sum, part| sum.saturating_add(part.tokens));
         let (tokens_in, tokens_out) = size.map_or((all, 0), |(i, o)| (number(i), number(o)));
-        Prompt { parts, tokens_in, tokens_out }
+        Prompt {
+            parts,
+            tokens_in,
+            tokens_out,
+        }
     }
 }
--- a/policy/tests/fixtures.rs
+++ b/policy/tests/fixtures.rs
@@ -33,9 +33,18 @@
 ) -> Option<(String, Extract)> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let header = |name: &str| {
-        headers.iter().find(|(known, _)| *known == name).map(|(_, value)| value.to_string())
+        headers
+            .iter()
+            .find(|(known, _)| *known == name)
+            .map(|(_, value)| value.to_string())
+    };
+    let head = Head {
+        method,
+        path,
+        query,
+        header: &header,
+        draw: 1,
     };
-    let head = Head { method, path, query, header: &header, draw: 1 };
     let route = program.route(&head)?;
     let extract = program.extract(route, &head, body.as_bytes(), is_ended, BODY_CAP);
     Some((program.routes[route].name.clone(), extract))
@@ -95,9 +104,30 @@
             true,
             Some(("ask", Field::Missing, Field::Missing)),
         ),
-        ("POST", "/chat/x", &[], "not json", true, Some(("ask", Field::Missing, Field::Missing))),
-        ("GET", "/shop/k%203/a.png", &[], "", true, Some(("thumb", known("k 3"), known("thumbs")))),
-        ("GET", "/shop/", &[], "", true, Some(("thumb", Field::Missing, known("thumbs")))),
+        (
+            "POST",
+            "/chat/x",
+            &[],
+            "not json",
+            true,
+            Some(("ask", Field::Missing, Field::Missing)),
+        ),
+        (
+            "GET",
+            "/shop/k%203/a.png",
+            &[],
+            "",
+            true,
+            Some(("thumb", known("k 3"), known("thumbs"))),
+        ),
+        (
+            "GET",
+            "/shop/",
+            &[],
+            "",
+            true,
+            Some(("thumb", Field::Missing, known("thumbs"))),
+        ),
         (
             "PUT",
             "/forms/send?a=b&model=m4",
@@ -160,7 +190,11 @@
         let seen = prefix(&body[..cut], false);
         assert!(seen.is_none() || seen == whole, "cut at {cut}");
     }
-    assert_eq!(prefix(&body.replace(" time", " tide"), true), whole, "only its beginning counts");
+    assert_eq!(
+        prefix(&body.replace(" time", " tide"), true),
+        whole,
+        "only its beginning counts"
+    );
     assert_ne!(prefix(&body.replace("once", "then"), true), whole);
 }
 
@@ -171,23 +205,56 @@
     let cases: Vec<Case> = vec![
         ("doors a".into(), vec![(1, 1, "a statement begins")]),
         ("\n  set fill 200%".into(), vec![(2, 12, "a percentage")]),
-        ("set fresh soon\nset what 1".into(), vec![(1, 11, "a time"), (2, 5, "a set point is")]),
-        ("set fresh 2h\nset expire 1h".into(), vec![(1, 1, "`fresh` is longer")]),
-        (r#"door a at "/a" tenant bearer"#.into(), vec![(1, 11, "ends with a slash")]),
-        (r#"door a at "/a/ tenant bearer"#.into(), vec![(1, 11, "no closing quote")]),
-        (r#"door a at "/a/" tenant cookie "x""#.into(), vec![(1, 24, "a source is")]),
-        (r#"door a at "/a/" tenant segment 0"#.into(), vec![(1, 32, "a segment's number")]),
-        (r#"door a at "/a/" tenant body "x..y""#.into(), vec![(1, 29, "one to eight names")]),
+        (
+            "set fresh soon\nset what 1".into(),
+            vec![(1, 11, "a time"), (2, 5, "a set point is")],
+        ),
+        (
+            "set fresh 2h\nset expire 1h".into(),
+            vec![(1, 1, "`fresh` is longer")],
+        ),
+        (
+            r#"door a at "/a" tenant bearer"#.into(),
+            vec![(1, 11, "ends with a slash")],
+        ),
+        (
+            r#"door a at "/a/ tenant bearer"#.into(),
+            vec![(1, 11, "no closing quote")],
+        ),
+        (
+            r#"door a at "/a/" tenant cookie "x""#.into(),
+            vec![(1, 24, "a source is")],
+        ),
+        (
+            r#"door a at "/a/" tenant segment 0"#.into(),
+            vec![(1, 32, "a segment's number")],
+        ),
+        (
+            r#"door a at "/a/" tenant body "x..y""#.into(),
+            vec![(1, 29, "one to eight names")],
+        ),
         (format!("{door}\n{door}"), vec![(2, 6, "a door a already")]),
         (format!("{door} more"), vec![(1, 46, "nothing more")]),
-        (format!("{door}\nroute r on b GET \"/a/\" to model once"), vec![(2, 12, "no door b")]),
-        (format!("{door}\nroute r on a GET \"/b/x\" to model once"), vec![(2, 18, "below /a/")]),
-        (format!("{door}\nroute r on a LIST \"/a/\" to model once"), vec![(2, 14, "a method is")]),
+        (
+            format!("{door}\nroute r on b GET \"/a/\" to model once"),
+            vec![(2, 12, "no door b")],
+        ),
+        (
+            format!("{door}\nroute r on a GET \"/b/x\" to model once"),
+            vec![(2, 18, "below /a/")],
+        ),
+        (
+            format!("{door}\nroute r on a LIST \"/a/\" to model once"),
+            vec![(2, 14, "a method is")],
+        ),
         (
             format!("{door}\nroute r on a GET \"/a/*x\" to model once"),
             vec![(2, 18, "one * at most")],
         ),
-        (format!("{door}\nroute r on a GET \"/a/\" to model twice"), vec![(2, 33, "`once` or")]),
+        (
+            format!("{door}\nroute r on a GET \"/a/\" to model twice"),
+            vec![(2, 33, "`once` or")],
+        ),
         (
             r#"door a at "/a/" tenant bearer
 route r on a GET "/a/" to model once"#
@@ -199,7 +266,11 @@
         let found = compile(&text).err().unwrap_or_default();
         assert_eq!(found.len(), wanted.len(), "{text}: {found:?}");
         for (found, (line, column, words)) in found.iter().zip(wanted) {
-            assert_eq!((found.line, found.column), (line, column), "{text}: {found}");
+            assert_eq!(
+                (found.line, found.column),
+                (line, column),
+                "{text}: {found}"
+            );
             assert!(found.text.contains(words), "{text}: {found}");
         }
     }
@@ -208,7 +279,10 @@
 #[test]
 fn set_points_and_spans() {
     let points = program().points;
-    assert_eq!((points.fill, points.fresh_ms, points.expire_ms), (0.75, 30_000, 120_000));
+    assert_eq!(
+        (points.fill, points.fresh_ms, points.expire_ms),
+        (0.75, 30_000, 120_000)
+    );
     let retries = |text: &str| compile(text).expect("it compiles").points.retries;
     assert_eq!(retries("set retries 90%"), 0.2, "a fifth is the most");
     let cases = [
--- a/protocol/tests/formats/bytes.rs
+++ b/protocol/tests/formats/bytes.rs
@@ -7,7 +7,12 @@
 /// The same cases in every run.
 pub fn config(cases: u32) -> Config {
     let rng_seed = RngSeed::Fixed(0x5eed);
-    Config { cases, rng_seed, failure_persistence: None, ..Config::default() }
+    Config {
+        cases,
+        rng_seed,
+        failure_persistence: None,
+        ..Config::default()
+    }
 }
 
 #[derive(Clone, Debug)]
--- a/protocol/tests/formats/frames.rs
+++ b/protocol/tests/formats/frames.rs
@@ -5,18 +5,21 @@
 use consensus::{Body, Entry, EntryPayload, Member, Membership, Message, Snapshot};
 use proptest::prelude::*;
 use proptest::sample::Index;
+use protocol::*;
 use residency::{
     Command, ConfigDocument, DrainTarget, Engine, EngineState, Event, InvalidationScope, Limits,
     Mapping, Name, Outcome, Place, Proposal, TenantLimits, Traits, Window,
 };
-use protocol::*;
 
 fn name(text: &str) -> Name {
     Name(text.into())
 }
 
 fn place(name: &str, within: &str) -> Place {
-    Place { name: name.into(), within: within.into() }
+    Place {
+        name: name.into(),
+        within: within.into(),
+    }
 }
 
 fn member(identity: u64) -> Member {
@@ -64,28 +67,61 @@
 
 pub fn commands() -> Vec<Command> {
     let key = || (name("ana"), name("writer"));
-    let window =
-        Window { id: name("w-1"), what: DrainTarget::Zone(name("north-a")), from: 5, until: 9 };
-    let other =
-        Window { id: name("w-2"), what: DrainTarget::Engine(name("i-1")), ..window.clone() };
-    let config_document = ConfigDocument { revision: 3, based: 2, text: "{}".into() };
+    let window = Window {
+        id: name("w-1"),
+        what: DrainTarget::Zone(name("north-a")),
+        from: 5,
+        until: 9,
+    };
+    let other = Window {
+        id: name("w-2"),
+        what: DrainTarget::Engine(name("i-1")),
+        ..window.clone()
+    };
+    let config_document = ConfigDocument {
+        revision: 3,
+        based: 2,
+        text: "{}".into(),
+    };
     vec![
-        Command::Revise { whole: false, text: "{\"services\":{\"writer\":{}}}".into() },
+        Command::Revise {
+            whole: false,
+            text: "{\"services\":{\"writer\":{}}}".into(),
+        },
         Command::Key(place(&"a".repeat(64), "ana")),
         Command::KeyGone(name("digest")),
         Command::Engine(engine()),
         Command::EngineGone(name("i-1")),
-        Command::EngineState { name: name("i-1"), state: EngineState::Draining },
+        Command::EngineState {
+            name: name("i-1"),
+            state: EngineState::Draining,
+        },
         Command::Evacuate(name("north-a")),
         Command::GiveBack(name("north-a")),
-        Command::Move { tenant: key().0, service: key().1, cell: name("north-1") },
-        Command::Settle { tenant: key().0, service: key().1 },
-        Command::Unpin { tenant: key().0, service: key().1 },
+        Command::Move {
+            tenant: key().0,
+            service: key().1,
+            cell: name("north-1"),
+        },
+        Command::Settle {
+            tenant: key().0,
+            service: key().1,
+        },
+        Command::Unpin {
+            tenant: key().0,
+            service: key().1,
+        },
         Command::Schedule(vec![window, other]),
         Command::Begin(name("w-1")),
         Command::End(name("w-1")),
-        Command::Adopt { config_document, text: "{}".into() },
-        Command::Listed { engines: vec![engine(), engine()], gone: vec![name("i-0")] },
+        Command::Adopt {
+            config_document,
+            text: "{}".into(),
+        },
+        Command::Listed {
+            engines: vec![engine(), engine()],
+            gone: vec![name("i-0")],
+        },
         Command::Fleet(9),
     ]
 }
@@ -98,12 +134,20 @@
         homes: vec![name("north")],
         urgency: 1,
     };
-    let traits = Traits { service: "writer".into(), connections: 9, warm_pace: 3, warm_ms: 50 };
+    let traits = Traits {
+        service: "writer".into(),
+        connections: 9,
+        warm_pace: 3,
+        warm_ms: 50,
+    };
     let rules = "door app at \"/app/\" tenant header \"x-tenant-key\" model header \"x-model\"\n\
                  route write on app POST \"/app/write\" to model once deadline 30s";
     vec![
         Event::Rules(name(rules)),
-        Event::Places { zones: vec![place("z", "r")], cells: vec![place("c", "z")] },
+        Event::Places {
+            zones: vec![place("z", "r")],
+            cells: vec![place("c", "z")],
+        },
         Event::Key(place("digest", "ana")),
         Event::KeyGone(name("digest")),
         Event::Engine(engine()),
@@ -122,21 +166,47 @@
 }
 
 fn bodies() -> Vec<Body> {
-    let entry = |index, payload| Entry { index, term: 3, payload };
+    let entry = |index, payload| Entry {
+        index,
+        term: 3,
+        payload,
+    };
     let entries = vec![
         entry(1, EntryPayload::Blank),
         entry(2, EntryPayload::Command(vec![1, 2, 3])),
         entry(3, EntryPayload::Membership(membership())),
     ];
-    let snapshot =
-        Snapshot { index: 9, term: 3, cluster: 77, members: membership(), state: vec![7; 50] };
+    let snapshot = Snapshot {
+        index: 9,
+        term: 3,
+        cluster: 77,
+        members: membership(),
+        state: vec![7; 50],
+    };
     vec![
-        Body::PreVote { last_index: 5, last_term: 2 },
+        Body::PreVote {
+            last_index: 5,
+            last_term: 2,
+        },
         Body::PreVoteResponse { granted: true },
-        Body::Vote { last_index: 5, last_term: 2, is_transfer: false },
+        Body::Vote {
+            last_index: 5,
+            last_term: 2,
+            is_transfer: false,
+        },
         Body::VoteResponse { granted: false },
-        Body::AppendEntries { prior_index: 0, prior_term: 0, commit: 2, round: 8, entries },
-        Body::AppendEntriesResponse { is_match: true, matched: 3, round: 8 },
+        Body::AppendEntries {
+            prior_index: 0,
+            prior_term: 0,
+            commit: 2,
+            round: 8,
+            entries,
+        },
+        Body::AppendEntriesResponse {
+            is_match: true,
+            matched: 3,
+            round: 8,
+        },
         Body::InstallSnapshot { round: 9, snapshot },
         Body::TimeoutNow,
     ]
@@ -165,29 +235,68 @@
         ahead: 2,
         lately: [1, 2, 3, 4],
     };
-    FrontDemand { front: "edge-1".into(), life: 8, number: 4, age_ms: 99, demands: vec![demand] }
+    FrontDemand {
+        front: "edge-1".into(),
+        life: 8,
+        number: 4,
+        age_ms: 99,
+        demands: vec![demand],
+    }
 }
 
 /// One frame of each kind at least.
 pub fn frames() -> Vec<Frame> {
-    let share = Share { tenant: "ana".into(), limit: 9, queue_ms: 3 };
+    let share = Share {
+        tenant: "ana".into(),
+        limit: 9,
+        queue_ms: 3,
+    };
     let shares = FrontShares {
         front: "edge-1".into(),
         number: 4,
         shares: vec![share.clone(), share.clone()],
     };
-    let header = Header { name: "x-model".into(), value: b"writer".to_vec() };
+    let header = Header {
+        name: "x-model".into(),
+        value: b"writer".to_vec(),
+    };
     let mut frames = vec![
-        Frame::Hello { epoch: EPOCH, kind: Kind::Router, name: "edge-1".into() },
-        Frame::Refused { text: "another epoch".into() },
-        Frame::Fronts { from: 1, fronts: vec![front(), front()] },
+        Frame::Hello {
+            epoch: EPOCH,
+            kind: Kind::Router,
+            name: "edge-1".into(),
+        },
+        Frame::Refused {
+            text: "another epoch".into(),
+        },
+        Frame::Fronts {
+            from: 1,
+            fronts: vec![front(), front()],
+        },
         Frame::Join(member(9)),
-        Frame::Joined { admitted: true, text: "in".into() },
+        Frame::Joined {
+            admitted: true,
+            text: "in".into(),
+        },
         Frame::Introduce(member(9)),
-        Frame::Beat { front: front(), demand: demand() },
-        Frame::Lease { number: 4, epoch: 9, shares: vec![share] },
-        Frame::Picture { epoch: 9, events: events() },
-        Frame::Change { prior: 8, epoch: 9, events: events() },
+        Frame::Beat {
+            front: front(),
+            demand: demand(),
+        },
+        Frame::Lease {
+            number: 4,
+            epoch: 9,
+            shares: vec![share],
+        },
+        Frame::Picture {
+            epoch: 9,
+            events: events(),
+        },
+        Frame::Change {
+            prior: 8,
+            epoch: 9,
+            events: events(),
+        },
         Frame::Company(News {
             is_first: 1,
             fronts: vec![front()],
@@ -215,7 +324,10 @@
         Frame::Welcome,
         Frame::Go,
         Frame::Mapped(mapping()),
-        Frame::AnswerHead { status: 200, headers: vec![header] },
+        Frame::AnswerHead {
+            status: 200,
+            headers: vec![header],
+        },
         Frame::AnswerBody(vec![1; 40]),
         Frame::AnswerEnd,
         Frame::Declined {
@@ -225,30 +337,64 @@
             not_run: true,
             retry_after_ms: 50,
         },
-        Frame::Look { number: 1, key: "ana/writer".into(), epoch: 9 },
-        Frame::Seen { number: 1, mapping: vec![mapping()] },
+        Frame::Look {
+            number: 1,
+            key: "ana/writer".into(),
+            epoch: 9,
+        },
+        Frame::Seen {
+            number: 1,
+            mapping: vec![mapping()],
+        },
         Frame::Keep(mapping()),
         Frame::Tidings {
             from: "edge-1".into(),
             is_relayed: 0,
-            loads: vec![Load { engine: "i-1".into(), jobs: 3, tokens: 99 }],
-            kept: vec![Kept { engine: "i-1".into(), chain: 77 }],
+            loads: vec![Load {
+                engine: "i-1".into(),
+                jobs: 3,
+                tokens: 99,
+            }],
+            kept: vec![Kept {
+                engine: "i-1".into(),
+                chain: 77,
+            }],
         },
     ];
-    frames.extend(
-        bodies()
-            .into_iter()
-            .map(|body| Frame::Consensus(Message { from: 1, to: 2, cluster: 77, term: 3, body })),
-    );
-    let submit = |command| PeerRequest::Submit(Proposal { id: "s-1".into(), base: 4, command });
+    frames.extend(bodies().into_iter().map(|body| {
+        Frame::Consensus(Message {
+            from: 1,
+            to: 2,
+            cluster: 77,
+            term: 3,
+            body,
+        })
+    }));
+    let submit = |command| {
+        PeerRequest::Submit(Proposal {
+            id: "s-1".into(),
+            base: 4,
+            command,
+        })
+    };
     let questions = commands().into_iter().map(submit).chain([
-        PeerRequest::Confirm { demands: vec![demand()] },
+        PeerRequest::Confirm {
+            demands: vec![demand()],
+        },
         PeerRequest::Admit(member(9)),
         PeerRequest::Retire { identity: 9 },
         PeerRequest::Leave { identity: 9 },
     ]);
-    let validity = Validity { term: 3, deadline_ms: 1_234 };
-    frames.extend(questions.map(|question| Frame::Ask { from: 1, number: 2, validity, question }));
+    let validity = Validity {
+        term: 3,
+        deadline_ms: 1_234,
+    };
+    frames.extend(questions.map(|question| Frame::Ask {
+        from: 1,
+        number: 2,
+        validity,
+        question,
+    }));
     let outcomes = [
         Outcome::Applied { epoch: 9 },
         Outcome::Repeated { epoch: 9 },
@@ -256,15 +402,25 @@
         Outcome::Refused("no".into()),
     ];
     let replies = outcomes.into_iter().map(PeerResponse::Submitted).chain([
-        PeerResponse::Confirmed { index: 9, shares: vec![shares] },
+        PeerResponse::Confirmed {
+            index: 9,
+            shares: vec![shares],
+        },
         PeerResponse::Changed,
         PeerResponse::NotLeader,
         PeerResponse::Busy,
         PeerResponse::Unfit(name("why")),
         PeerResponse::Lost,
     ]);
-    frames.extend(replies.map(|reply| Frame::PeerResponse { number: 2, clock_ms: 3, reply }));
-    let none = Answer::None { code: name("no-place"), text: name("nowhere") };
+    frames.extend(replies.map(|reply| Frame::PeerResponse {
+        number: 2,
+        clock_ms: 3,
+        reply,
+    }));
+    let none = Answer::None {
+        code: name("no-place"),
+        text: name("nowhere"),
+    };
     let answers = [Answer::Mapping(mapping()), none, Answer::Later];
     frames.extend(answers.map(|answer| Frame::Resolved { number: 2, answer }));
     frames
@@ -275,7 +431,11 @@
 /// allows.
 fn read(bytes: &[u8]) {
     let (frame, most) = peak(|| decode(bytes));
-    assert!(most <= allowance(bytes.len()), "{most} bytes of memory for {} read", bytes.len());
+    assert!(
+        most <= allowance(bytes.len()),
+        "{most} bytes of memory for {} read",
+        bytes.len()
+    );
     match frame {
         Ok(frame) => assert_eq!(decode(&encode(&frame)[4..]).as_ref(), Ok(&frame)),
         Err(text) => assert!(!text.is_empty()),
--- a/protocol/tests/formats/log.rs
+++ b/protocol/tests/formats/log.rs
@@ -15,7 +15,9 @@
 
 impl Memory {
     fn file(&mut self, name: &str) -> io::Result<&mut Vec<u8>> {
-        self.0.get_mut(name).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.0
+            .get_mut(name)
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
@@ -25,11 +27,17 @@
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
-        self.0.get(name).cloned().ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.0
+            .get(name)
+            .cloned()
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.0.entry(name.into()).or_default().extend_from_slice(bytes);
+        self.0
+            .entry(name.into())
+            .or_default()
+            .extend_from_slice(bytes);
         Ok(())
     }
 
@@ -64,22 +72,46 @@
         1 => EntryPayload::Command(vec![index as u8; 30]),
         _ => EntryPayload::Membership(membership()),
     };
-    Entry { index, term: 1 + index / 4, payload }
+    Entry {
+        index,
+        term: 1 + index / 4,
+        payload,
+    }
 }
 
 /// A folder with a snapshot and a segment behind it.
 fn folder() -> (Memory, PersistedState) {
     let mut memory = Memory::default();
     let (mut log, _) = WriteAheadLog::open(&mut memory).expect("an empty folder");
-    let hard_state = |term| Write::HardState(HardState { term, vote: 1, cluster: 77 });
+    let hard_state = |term| {
+        Write::HardState(HardState {
+            term,
+            vote: 1,
+            cluster: 77,
+        })
+    };
     log.write(&[hard_state(1)]).expect("written");
-    log.write(&(1..6).map(|index| Write::Entry(entry(index))).collect::<Vec<_>>())
-        .expect("written");
-    let snapshot =
-        Snapshot { index: 4, term: 2, cluster: 77, members: membership(), state: vec![9; 60] };
+    log.write(
+        &(1..6)
+            .map(|index| Write::Entry(entry(index)))
+            .collect::<Vec<_>>(),
+    )
+    .expect("written");
+    let snapshot = Snapshot {
+        index: 4,
+        term: 2,
+        cluster: 77,
+        members: membership(),
+        state: vec![9; 60],
+    };
     log.write(&[Write::Snapshot(snapshot)]).expect("written");
-    log.write(&[hard_state(3), Write::Entry(entry(6)), Write::Truncate(6), Write::Entry(entry(6))])
-        .expect("written");
+    log.write(&[
+        hard_state(3),
+        Write::Entry(entry(6)),
+        Write::Truncate(6),
+        Write::Entry(entry(6)),
+    ])
+    .expect("written");
     drop(log);
     let (_, kept) = WriteAheadLog::open(&mut memory.clone()).expect("it reads back");
     (memory, kept)
@@ -167,6 +199,9 @@
         let mut torn = memory.clone();
         torn.file(&last).expect("it is there").truncate(cut);
         let kept = opened(&torn).expect("a torn end is cut away");
-        assert!(whole.entries.starts_with(&kept.entries), "cut at {cut} of {length}");
+        assert!(
+            whole.entries.starts_with(&kept.entries),
+            "cut at {cut} of {length}"
+        );
     }
 }
--- a/protocol/tests/formats/state.rs
+++ b/protocol/tests/formats/state.rs
@@ -21,9 +21,19 @@
 
 fn state() -> State {
     let mut state = State::default();
-    let revise = residency::Command::Revise { whole: true, text: BOOK.into() };
+    let revise = residency::Command::Revise {
+        whole: true,
+        text: BOOK.into(),
+    };
     for (command, epoch) in std::iter::once(revise).chain(commands()).zip(1..) {
-        state.apply(epoch, &Proposal { id: format!("s-{epoch}"), base: 0, command });
+        state.apply(
+            epoch,
+            &Proposal {
+                id: format!("s-{epoch}"),
+                base: 0,
+                command,
+            },
+        );
     }
     assert!(!state.view.engines.is_empty());
     state
@@ -35,7 +45,11 @@
     let again = State::restore(&bytes).expect("its own snapshot");
     assert_eq!(again.snapshot(), bytes);
     for cut in 1..bytes.len() {
-        assert!(State::restore(&bytes[..cut]).is_err(), "{cut} of {} bytes", bytes.len());
+        assert!(
+            State::restore(&bytes[..cut]).is_err(),
+            "{cut} of {} bytes",
+            bytes.len()
+        );
     }
 }
 
@@ -109,9 +123,15 @@
     for open in ["[", "{\"a\":", "[{\"a\":"] {
         for depth in [10, 1_000, 100_000] {
             let text = open.repeat(depth);
-            assert!(residency::parse_text(&text).is_err(), "{open} {depth} times");
+            assert!(
+                residency::parse_text(&text).is_err(),
+                "{open} {depth} times"
+            );
         }
     }
     let whole = format!("{}{}", "[".repeat(200_000), "]".repeat(200_000));
-    assert!(residency::parse_text(&whole).is_err(), "closed as often as opened");
+    assert!(
+        residency::parse_text(&whole).is_err(),
+        "closed as often as opened"
+    );
 }
--- a/residency/src/book.rs
+++ b/residency/src/book.rs
@@ -59,7 +59,12 @@
         let at = error.index().min(text.len());
         let before = &text.as_bytes()[..at];
         let line = before.iter().filter(|byte| **byte == b'\n').count() + 1;
-        let column = before.iter().rev().take_while(|byte| **byte != b'\n').count() + 1;
+        let column = before
+            .iter()
+            .rev()
+            .take_while(|byte| **byte != b'\n')
+            .count()
+            + 1;
         format!("line {line}, column {column}: {:?}", error.error())
     })
 }
@@ -97,7 +102,10 @@
     fn name(&mut self, place: &str, name: &str) {
         let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
         if name.is_empty() || name.len() > 64 || !name.chars().all(fits) {
-            self.complain(place, "a name is 1 to 64 letters, digits, dots, dashes, underscores");
+            self.complain(
+                place,
+                "a name is 1 to 64 letters, digits, dots, dashes, underscores",
+            );
         }
     }
 
@@ -107,7 +115,9 @@
         value: &'v OwnedValue,
         name: &str,
     ) -> Vec<(&'v String, &'v OwnedValue)> {
-        let Some(found) = value.get(name) else { return Vec::new() };
+        let Some(found) = value.get(name) else {
+            return Vec::new();
+        };
         let Some(object) = found.as_object() else {
             self.complain(name, "an object should stand here");
             return Vec::new();
@@ -142,9 +152,13 @@
     }
 
     fn texts(&mut self, place: &str, value: &OwnedValue, name: &str) -> Vec<String> {
-        let Some(found) = value.get(name) else { return Vec::new() };
+        let Some(found) = value.get(name) else {
+            return Vec::new();
+        };
         let list = found.as_array().map(|list| {
-            list.iter().map(|item| item.as_str().map(String::from)).collect::<Option<Vec<_>>>()
+            list.iter()
+                .map(|item| item.as_str().map(String::from))
+                .collect::<Option<Vec<_>>>()
         });
         match list {
             Some(Some(texts)) => texts,
@@ -160,7 +174,10 @@
             None => 0,
             Some(Some(count)) if count <= 1_000_000 => count,
             _ => {
-                self.complain(&join(place, name), "a whole number up to 1000000 should stand here");
+                self.complain(
+                    &join(place, name),
+                    "a whole number up to 1000000 should stand here",
+                );
                 0
             }
         }
@@ -180,7 +197,10 @@
         let found = value.get(name)?;
         let span = found.as_str().and_then(policy::parse_span);
         if span.is_none() {
-            self.complain(&join(place, name), "a time such as 30s, 5m or 24h should stand here");
+            self.complain(
+                &join(place, name),
+                "a time such as 30s, 5m or 24h should stand here",
+            );
         }
         span
     }
@@ -226,12 +246,19 @@
     /// that is wrong is returned.
     pub fn read(value: &OwnedValue) -> Result<Book, Vec<String>> {
         let mut complaints = Vec::new();
-        let mut reader = Reader { complaints: &mut complaints };
-        let known = ["zones", "cells", "services", "tenants", "rules", "limits", "near"];
+        let mut reader = Reader {
+            complaints: &mut complaints,
+        };
+        let known = [
+            "zones", "cells", "services", "tenants", "rules", "limits", "near",
+        ];
         reader.fields("", value, &known);
         let mut book = Book {
             limits: Limits::default(),
-            is_near_first: value.get("near").and_then(|near| near.as_bool()).unwrap_or(false),
+            is_near_first: value
+                .get("near")
+                .and_then(|near| near.as_bool())
+                .unwrap_or(false),
             keys: BTreeMap::new(),
             zones: BTreeMap::new(),
             cells: BTreeMap::new(),
@@ -289,8 +316,9 @@
         }
         for (name, tenant) in reader.things(value, "tenants") {
             let place = format!("tenants.{name}");
-            let known =
-                ["homes", "services", "pace", "burst", "fresh", "expire", "urgency", "keys"];
+            let known = [
+                "homes", "services", "pace", "burst", "fresh", "expire", "urgency", "keys",
+            ];
             reader.fields(&place, tenant, &known);
             let services = reader.texts(&place, tenant, "services");
             for (at, service) in services.iter().enumerate() {
@@ -345,7 +373,9 @@
                 head_wait_ms: reader
                     .span("limits", limits, "head_wait")
                     .unwrap_or(named.head_wait_ms),
-                idle_ms: reader.span("limits", limits, "idle").unwrap_or(named.idle_ms),
+                idle_ms: reader
+                    .span("limits", limits, "idle")
+                    .unwrap_or(named.idle_ms),
             };
         }
         if let Some(rules) = value.get("rules") {
--- a/residency/src/command.rs
+++ b/residency/src/command.rs
@@ -34,7 +34,11 @@
     GiveBack(Name),
     /// A key's jobs go to another cell; never fresh until settled.
     #[brw(magic = 7u8)]
-    Move { tenant: Name, service: Name, cell: Name },
+    Move {
+        tenant: Name,
+        service: Name,
+        cell: Name,
+    },
     #[brw(magic = 8u8)]
     Settle { tenant: Name, service: Name },
     #[brw(magic = 9u8)]
--- a/residency/src/fence.rs
+++ b/residency/src/fence.rs
@@ -56,7 +56,10 @@
     }
 
     fn zone(&self, zone: &Name) -> u64 {
-        self.zones.iter().find(|change| change.zone == *zone).map_or(0, |change| change.index)
+        self.zones
+            .iter()
+            .find(|change| change.zone == *zone)
+            .map_or(0, |change| change.index)
     }
 
     /// Takes down what an applied command changed. An order that finds its zone
@@ -85,7 +88,10 @@
         self.note_part(Part::Zones, index);
         match self.zones.iter_mut().find(|change| change.zone == *zone) {
             Some(change) => change.index = index,
-            None => self.zones.push(ZoneChange { zone: zone.clone(), index }),
+            None => self.zones.push(ZoneChange {
+                zone: zone.clone(),
+                index,
+            }),
         }
     }
 }
--- a/residency/src/state.rs
+++ b/residency/src/state.rs
@@ -105,7 +105,10 @@
 
     /// Whether a repeat of a proposal, and with what outcome.
     fn repeat(&self, proposal: &Proposal) -> Option<Outcome> {
-        let known = self.recent_proposals.iter().find(|known| known.id == proposal.id)?;
+        let known = self
+            .recent_proposals
+            .iter()
+            .find(|known| known.id == proposal.id)?;
         Some(match known.sum == crc(&proposal.command) {
             true => Outcome::Repeated { epoch: known.epoch },
             false => Outcome::Refused(format!(
@@ -120,9 +123,9 @@
         let changed = self.last_changed.subject_of(&proposal.command);
         let is_old = proposal.base != 0 && proposal.base < changed;
         let is_other = match &proposal.command {
-            Command::Adopt { config_document, .. } => {
-                config_document.based != self.config_document.revision
-            }
+            Command::Adopt {
+                config_document, ..
+            } => config_document.based != self.config_document.revision,
             _ => false,
         };
         (is_old || is_other).then_some(Outcome::Conflict { epoch: changed })
@@ -183,12 +186,19 @@
     /// forgotten, however many others came after it.
     fn remember(&mut self, proposal: &Proposal, epoch: u64) {
         let sum = crc(&proposal.command);
-        self.recent_proposals.push_back(RecentProposal { id: proposal.id.clone(), sum, epoch });
+        self.recent_proposals.push_back(RecentProposal {
+            id: proposal.id.clone(),
+            sum,
+            epoch,
+        });
         if self.recent_proposals.len() <= RECENT_PROPOSALS {
             return;
         }
         let in_force = self.last_changed.part(Part::Topology);
-        if let Some(oldest) = self.recent_proposals.iter().position(|known| known.epoch != in_force)
+        if let Some(oldest) = self
+            .recent_proposals
+            .iter()
+            .position(|known| known.epoch != in_force)
         {
             self.recent_proposals.remove(oldest);
         }
@@ -198,7 +208,9 @@
     /// no more, so that each window begins and ends once, whoever leads.
     pub fn due(&self, now: u64) -> Vec<Command> {
         let due = |planned: &Planned| {
-            let Window { id, from, until, .. } = &planned.window;
+            let Window {
+                id, from, until, ..
+            } = &planned.window;
             match planned.has_begun {
                 true if now >= *until => Some(Command::End(id.clone())),
                 false if now >= *from => Some(Command::Begin(id.clone())),
@@ -210,7 +222,9 @@
 
     /// The windows to come and under way, and whether each has begun.
     pub fn windows(&self) -> impl Iterator<Item = (&Window, bool)> {
-        self.windows.iter().map(|planned| (&planned.window, planned.has_begun))
+        self.windows
+            .iter()
+            .map(|planned| (&planned.window, planned.has_begun))
     }
 
     /// Makes what `plan` has allowed.
@@ -222,11 +236,15 @@
                     Command::Adopt { text, .. } => (true, text),
                     _ => unreachable!("matched above"),
                 };
-                if let Command::Adopt { config_document, .. } = command {
+                if let Command::Adopt {
+                    config_document, ..
+                } = command
+                {
                     self.config_document = config_document.clone();
                 }
-                let (document, book) =
-                    self.revised(whole, text).expect("a revision is planned before");
+                let (document, book) = self
+                    .revised(whole, text)
+                    .expect("a revision is planned before");
                 self.document = document;
                 self.book = book;
                 let book = &self.book;
@@ -244,9 +262,17 @@
                     planned.was_shut = true;
                 }
             }
-            Command::Move { tenant, service, cell } => {
+            Command::Move {
+                tenant,
+                service,
+                cell,
+            } => {
                 let key = key(&tenant.0, &service.0);
-                let pin = Pin { key: Name(key.clone()), cell: cell.clone(), is_moving: true };
+                let pin = Pin {
+                    key: Name(key.clone()),
+                    cell: cell.clone(),
+                    is_moving: true,
+                };
                 self.pins.insert(key, pin);
             }
             Command::Settle { tenant, service } => {
@@ -257,14 +283,25 @@
             Command::Schedule(windows) => {
                 self.windows.retain(|planned| planned.has_begun);
                 for window in windows {
-                    if !self.windows.iter().any(|planned| planned.window.id == window.id) {
+                    if !self
+                        .windows
+                        .iter()
+                        .any(|planned| planned.window.id == window.id)
+                    {
                         let window = window.clone();
-                        self.windows.push(Planned { window, has_begun: false, was_shut: false });
+                        self.windows.push(Planned {
+                            window,
+                            has_begun: false,
+                            was_shut: false,
+                        });
                     }
                 }
             }
             Command::Begin(id) => {
-                let place = self.windows.iter().position(|planned| planned.window.id == *id);
+                let place = self
+                    .windows
+                    .iter()
+                    .position(|planned| planned.window.id == *id);
                 if let Some(place) = place {
                     let was_shut = self.is_shut(&self.windows[place].window.what);
                     self.windows[place].has_begun = true;
@@ -280,7 +317,9 @@
     }
 
     pub fn moves(&self) -> impl Iterator<Item = (&str, &str, bool)> {
-        self.pins.values().map(|pin| (pin.key.0.as_str(), pin.cell.0.as_str(), pin.is_moving))
+        self.pins
+            .values()
+            .map(|pin| (pin.key.0.as_str(), pin.cell.0.as_str(), pin.is_moving))
     }
 }
 
--- a/residency/src/state/plan.rs
+++ b/residency/src/state/plan.rs
@@ -15,7 +15,11 @@
 impl State {
     pub(super) fn revised(&self, whole: bool, text: &str) -> Result<(OwnedValue, Book), String> {
         let part = book::parse_text(text)?;
-        let mut document = if whole { OwnedValue::object() } else { self.document.clone() };
+        let mut document = if whole {
+            OwnedValue::object()
+        } else {
+            self.document.clone()
+        };
         book::merge(&mut document, &part);
         let book = Book::read(&document).map_err(|complaints| complaints.join("\n"))?;
         for engine in self.view.engines.values() {
@@ -54,7 +58,10 @@
             Ok(key(&tenant.0, &service.0))
         };
         match command {
-            Command::Adopt { config_document, text } => {
+            Command::Adopt {
+                config_document,
+                text,
+            } => {
                 if config_document.revision <= self.config_document.revision {
                     return Err(format!(
                         "revision {} is not above {}, which is in force",
@@ -97,8 +104,10 @@
                 if engine.address.parse::<std::net::SocketAddr>().is_err() {
                     return Err(format!("{} is no address and port", engine.address));
                 }
-                let unknown =
-                    engine.services.iter().find(|name| !self.book.services.contains_key(&name.0));
+                let unknown = engine
+                    .services
+                    .iter()
+                    .find(|name| !self.book.services.contains_key(&name.0));
                 if let Some(name) = unknown {
                     return Err(format!("there is no service {name}"));
                 }
@@ -118,7 +127,10 @@
             },
             Command::EngineState { name, state } => match self.view.engines.get(&name.0) {
                 Some(engine) => {
-                    let engine = Engine { state: *state, ..engine.clone() };
+                    let engine = Engine {
+                        state: *state,
+                        ..engine.clone()
+                    };
                     Ok(self.engine_events(&name.0, Some(&engine)))
                 }
                 None => Err(format!("there is no engine {name}")),
@@ -139,13 +151,22 @@
                     false => vec![Event::GivenBack(zone.clone()), touched],
                 })
             }
-            Command::Move { tenant, service, cell } => {
+            Command::Move {
+                tenant,
+                service,
+                cell,
+            } => {
                 let key = known_pair(tenant, service)?;
                 let Some(region) = self.book.region_of_cell(&cell.0) else {
                     return Err(format!("there is no cell {cell}"));
                 };
-                if !self.permitted(&tenant.0, &service.0, region).contains(region) {
-                    return Err(format!("cell {cell} in {region} is outside the homes of {key}"));
+                if !self
+                    .permitted(&tenant.0, &service.0, region)
+                    .contains(region)
+                {
+                    return Err(format!(
+                        "cell {cell} in {region} is outside the homes of {key}"
+                    ));
                 }
                 Ok(vec![Event::Touched(InvalidationScope::Key(Name(key)))])
             }
@@ -229,7 +250,9 @@
                 && !engines.iter().any(|new| new.name == engine.name)
         });
         let after = pairs(&mut others.chain(engines.iter().copied()));
-        let known = gone.iter().filter(|name| self.view.engines.contains_key(&name.0));
+        let known = gone
+            .iter()
+            .filter(|name| self.view.engines.contains_key(&name.0));
         let mut events: Vec<Event> = known.cloned().map(Event::EngineGone).collect();
         events.extend(engines.into_iter().cloned().map(Event::Engine));
         if after != before {
@@ -264,9 +287,10 @@
                 Some(known) if !self.book.keys.contains_key(digest) => {
                     return Err(format!("tenants.{tenant}: a key belongs to tenant {known}"));
                 }
-                _ => {
-                    events.push(Event::Key(Place { name: digest.clone(), within: tenant.clone() }))
-                }
+                _ => events.push(Event::Key(Place {
+                    name: digest.clone(),
+                    within: tenant.clone(),
+                })),
             }
         }
         let terms = |(name, tenant): (&String, &book::Tenant)| TenantLimits {
@@ -307,8 +331,15 @@
             (DrainTarget::Zone(zone), true) => self.plan(&Command::Evacuate(zone.clone())),
             (DrainTarget::Zone(zone), false) => self.plan(&Command::GiveBack(zone.clone())),
             (DrainTarget::Engine(name), _) => {
-                let state = if is_shut { EngineState::Draining } else { EngineState::Serving };
-                self.plan(&Command::EngineState { name: name.clone(), state })
+                let state = if is_shut {
+                    EngineState::Draining
+                } else {
+                    EngineState::Serving
+                };
+                self.plan(&Command::EngineState {
+                    name: name.clone(),
+                    state,
+                })
             }
         }
     }
@@ -316,9 +347,11 @@
     pub(super) fn is_shut(&self, what: &DrainTarget) -> bool {
         match what {
             DrainTarget::Zone(zone) => self.view.evacuated.contains(&zone.0),
-            DrainTarget::Engine(name) => {
-                self.view.engines.get(&name.0).is_some_and(|e| e.state != EngineState::Serving)
-            }
+            DrainTarget::Engine(name) => self
+                .view
+                .engines
+                .get(&name.0)
+                .is_some_and(|e| e.state != EngineState::Serving),
         }
     }
 }
--- a/residency/src/state/resolve.rs
+++ b/residency/src/state/resolve.rs
@@ -13,7 +13,9 @@
             None if tenant.is_empty() => &[],
             None => return Vec::new(),
         };
-        let Some(service) = self.book.services.get(service) else { return Vec::new() };
+        let Some(service) = self.book.services.get(service) else {
+            return Vec::new();
+        };
         let mut regions: Vec<String> = match homes.is_empty() {
             false => homes.to_vec(),
             true => self.book.regions().into_iter().cloned().collect(),
@@ -42,7 +44,10 @@
         }
         let allowed = entry.map_or(&[][..], |entry| &entry.services[..]);
         if !allowed.is_empty() && !allowed.iter().any(|known| known == service) {
-            return Err(("service-not-allowed", format!("{tenant} may not use {service}")));
+            return Err((
+                "service-not-allowed",
+                format!("{tenant} may not use {service}"),
+            ));
         }
         let regions = self.permitted(tenant, service, asker);
         let key = key(tenant, service);
@@ -55,7 +60,9 @@
         // a mapping outlives an evacuation.
         let mut cells: Vec<(bool, bool, usize, u32, String)> = Vec::new();
         for engine in self.view.engines.values().filter(serves) {
-            let Some(zone) = self.book.cells.get(&engine.cell) else { continue };
+            let Some(zone) = self.book.cells.get(&engine.cell) else {
+                continue;
+            };
             let rank = self
                 .book
                 .zones
@@ -90,9 +97,13 @@
             cells: cells.into_iter().map(|cell| Name(cell.4)).collect(),
             fresh_ms: match is_moving || is_emptied {
                 true => 0,
-                false => entry.and_then(|entry| entry.fresh_ms).unwrap_or(points.fresh_ms),
+                false => entry
+                    .and_then(|entry| entry.fresh_ms)
+                    .unwrap_or(points.fresh_ms),
             },
-            expire_ms: entry.and_then(|entry| entry.expire_ms).unwrap_or(points.expire_ms),
+            expire_ms: entry
+                .and_then(|entry| entry.expire_ms)
+                .unwrap_or(points.expire_ms),
             epoch: self.epoch(),
         })
     }
--- a/residency/src/state/snapshot.rs
+++ b/residency/src/state/snapshot.rs
@@ -59,7 +59,11 @@
             document,
             book,
             view,
-            pins: picture.pins.into_iter().map(|pin| (pin.key.0.clone(), pin)).collect(),
+            pins: picture
+                .pins
+                .into_iter()
+                .map(|pin| (pin.key.0.clone(), pin))
+                .collect(),
             recent_proposals: picture.known.into(),
             last_changed: picture.last_changed,
             windows: picture.windows,
--- a/residency/src/view.rs
+++ b/residency/src/view.rs
@@ -64,7 +64,12 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { head: 64 << 10, body: 1 << 30, head_wait_ms: 10_000, idle_ms: 60_000 }
+        Limits {
+            head: 64 << 10,
+            body: 1 << 30,
+            head_wait_ms: 10_000,
+            idle_ms: 60_000,
+        }
     }
 }
 
@@ -235,26 +240,37 @@
 }
 
 fn places(map: &BTreeMap<String, String>) -> Vec<Place> {
-    let place =
-        |(name, within): (&String, &String)| Place { name: name.clone(), within: within.clone() };
+    let place = |(name, within): (&String, &String)| Place {
+        name: name.clone(),
+        within: within.clone(),
+    };
     map.iter().map(place).collect()
 }
 
 fn map(places: &[Place]) -> BTreeMap<String, String> {
-    places.iter().map(|place| (place.name.clone(), place.within.clone())).collect()
+    places
+        .iter()
+        .map(|place| (place.name.clone(), place.within.clone()))
+        .collect()
 }
 
 impl View {
     pub fn cell(&self, name: &str) -> Option<Cell> {
         let zone = self.cells.get(name)?;
-        Some(Cell { zone: zone.clone(), region: self.zones.get(zone)?.clone() })
+        Some(Cell {
+            zone: zone.clone(),
+            region: self.zones.get(zone)?.clone(),
+        })
     }
 
     /// Whether an engine may get new work, as far as operators and platform
     /// have said.
     pub fn is_open(&self, engine: &Engine) -> bool {
         engine.state == EngineState::Serving
-            && self.cells.get(&engine.cell).is_some_and(|zone| !self.evacuated.contains(zone))
+            && self
+                .cells
+                .get(&engine.cell)
+                .is_some_and(|zone| !self.evacuated.contains(zone))
     }
 
     /// Takes one event. The events of an entry come together; the caller sets
@@ -293,12 +309,16 @@
             }
             Event::Touched(_) => {}
             Event::Tenants(list) => {
-                self.tenants =
-                    list.iter().map(|terms| (terms.tenant.clone(), terms.clone())).collect();
+                self.tenants = list
+                    .iter()
+                    .map(|terms| (terms.tenant.clone(), terms.clone()))
+                    .collect();
             }
             Event::Services(list) => {
-                self.services =
-                    list.iter().map(|traits| (traits.service.clone(), traits.clone())).collect();
+                self.services = list
+                    .iter()
+                    .map(|traits| (traits.service.clone(), traits.clone()))
+                    .collect();
             }
             Event::Limits(limits) => self.limits = *limits,
             Event::Fleet(count) => self.fleet = *count,
@@ -310,7 +330,10 @@
         let name = |text: &String| crate::Name(text.clone());
         let mut events = vec![
             Event::Rules(name(&self.rules)),
-            Event::Places { zones: places(&self.zones), cells: places(&self.cells) },
+            Event::Places {
+                zones: places(&self.zones),
+                cells: places(&self.cells),
+            },
             Event::Tenants(self.tenants.values().cloned().collect()),
             Event::Services(self.services.values().cloned().collect()),
             Event::Limits(self.limits),
@@ -318,7 +341,11 @@
         ];
         events.extend(places(&self.keys).into_iter().map(Event::Key));
         events.extend(self.engines.values().cloned().map(Event::Engine));
-        events.extend(self.evacuated.iter().map(|zone| Event::Evacuated(name(zone))));
+        events.extend(
+            self.evacuated
+                .iter()
+                .map(|zone| Event::Evacuated(name(zone))),
+        );
         events
     }
 }
--- a/residency/tests/fence.rs
+++ b/residency/tests/fence.rs
@@ -21,7 +21,10 @@
 impl Log {
     /// The first entry founds the cluster.
     fn new() -> Log {
-        let mut log = Log { state: State::default(), index: 1 };
+        let mut log = Log {
+            state: State::default(),
+            index: 1,
+        };
         log.must(revise(TOPOLOGY));
         for (name, cell, port) in [("e-n", "n-1", 1001), ("e-s", "s-1", 1002)] {
             log.must(Command::Engine(engine(name, cell, port)));
@@ -31,7 +34,16 @@
 
     fn submit(&mut self, id: &str, base: u64, command: Command) -> Outcome {
         self.index += 1;
-        self.state.apply(self.index, &Proposal { id: id.into(), base, command }).0
+        self.state
+            .apply(
+                self.index,
+                &Proposal {
+                    id: id.into(),
+                    base,
+                    command,
+                },
+            )
+            .0
     }
 
     /// Applies a command that is built on what is in force.
@@ -77,11 +89,18 @@
 }
 
 fn proposal(id: &str, base: u64, command: Command) -> Proposal {
-    Proposal { id: id.into(), base, command }
+    Proposal {
+        id: id.into(),
+        base,
+        command,
+    }
 }
 
 fn revise(text: &str) -> Command {
-    Command::Revise { whole: false, text: text.into() }
+    Command::Revise {
+        whole: false,
+        text: text.into(),
+    }
 }
 
 fn engine(name: &str, cell: &str, port: u16) -> Engine {
@@ -106,15 +125,27 @@
 
 fn schedule(id: &str, from: u64, until: u64) -> Command {
     let what = DrainTarget::Zone("n-a".into());
-    Command::Schedule(vec![Window { id: id.into(), what, from, until }])
+    Command::Schedule(vec![Window {
+        id: id.into(),
+        what,
+        from,
+        until,
+    }])
 }
 
 fn key(digit: &str, tenant: &str) -> Command {
-    Command::Key(Place { name: digit.repeat(64), within: tenant.into() })
+    Command::Key(Place {
+        name: digit.repeat(64),
+        within: tenant.into(),
+    })
 }
 
 fn move_to(cell: &str) -> Command {
-    Command::Move { tenant: "ana".into(), service: "writer".into(), cell: cell.into() }
+    Command::Move {
+        tenant: "ana".into(),
+        service: "writer".into(),
+        cell: cell.into(),
+    }
 }
 
 /// Guards: an evacuation that a cut held back does not empty a zone again that was
@@ -122,13 +153,31 @@
 /// one that found its zone evacuated already.
 #[test]
 fn a_late_order_for_a_zone_is_a_conflict() {
-    let case = |what, before, between, late, is_late| Case { what, before, between, late, is_late };
+    let case = |what, before, between, late, is_late| Case {
+        what,
+        before,
+        between,
+        late,
+        is_late,
+    };
     let taken_back = vec![evacuate("n-a"), reinstate("n-a")];
     let elsewhere = vec![evacuate("s-a"), reinstate("s-a")];
     let window = vec![Command::Begin("w".into()), Command::End("w".into())];
     let cases = [
-        case("after it was taken back", vec![], taken_back, evacuate("n-a"), true),
-        case("after it was said to be open", vec![], vec![reinstate("n-a")], evacuate("n-a"), true),
+        case(
+            "after it was taken back",
+            vec![],
+            taken_back,
+            evacuate("n-a"),
+            true,
+        ),
+        case(
+            "after it was said to be open",
+            vec![],
+            vec![reinstate("n-a")],
+            evacuate("n-a"),
+            true,
+        ),
         case(
             "after it was evacuated anew",
             vec![evacuate("n-a")],
@@ -143,10 +192,29 @@
             evacuate("n-a"),
             true,
         ),
-        case("another zone is no matter", vec![], elsewhere, evacuate("n-a"), false),
-        case("other changes are no matter", vec![], vec![key("a", "ana")], evacuate("n-a"), false),
+        case(
+            "another zone is no matter",
+            vec![],
+            elsewhere,
+            evacuate("n-a"),
+            false,
+        ),
+        case(
+            "other changes are no matter",
+            vec![],
+            vec![key("a", "ana")],
+            evacuate("n-a"),
+            false,
+        ),
     ];
-    for Case { what, before, between, late, is_late } in cases {
+    for Case {
+        what,
+        before,
+        between,
+        late,
+        is_late,
+    } in cases
+    {
         let mut log = Log::new();
         for command in before {
             log.must(command);
@@ -165,14 +233,20 @@
     log.must(reinstate("n-a"));
     // With the base of its first try, and with one that was read anew.
     for base in [base, log.index] {
-        assert_eq!(log.submit("one", base, evacuate("n-a")), Outcome::Repeated { epoch });
+        assert_eq!(
+            log.submit("one", base, evacuate("n-a")),
+            Outcome::Repeated { epoch }
+        );
     }
     assert!(log.state.view.evacuated.is_empty());
     // An order that finds its zone so already is taken and says nothing to routers.
     log.must(evacuate("n-a"));
     let again = proposal("again", log.index, evacuate("n-a"));
     let (outcome, events) = log.state.apply(log.index + 1, &again);
-    assert!(matches!(outcome, Outcome::Applied { .. }) && events.is_empty(), "{outcome:?}");
+    assert!(
+        matches!(outcome, Outcome::Applied { .. }) && events.is_empty(),
+        "{outcome:?}"
+    );
 }
 
 /// Guards: whatever else is submitted does not come true after what it was built on
@@ -180,28 +254,66 @@
 #[test]
 fn other_late_commands_are_conflicts() {
     let (settle, unpin) = (
-        Command::Settle { tenant: "ana".into(), service: "writer".into() },
-        Command::Unpin { tenant: "ana".into(), service: "writer".into() },
+        Command::Settle {
+            tenant: "ana".into(),
+            service: "writer".into(),
+        },
+        Command::Unpin {
+            tenant: "ana".into(),
+            service: "writer".into(),
+        },
     );
-    let draining = Command::EngineState { name: "e-n".into(), state: EngineState::Draining };
-    let serving = Command::EngineState { name: "e-n".into(), state: EngineState::Serving };
+    let draining = Command::EngineState {
+        name: "e-n".into(),
+        state: EngineState::Draining,
+    };
+    let serving = Command::EngineState {
+        name: "e-n".into(),
+        state: EngineState::Serving,
+    };
     let listed = |engines: Vec<Engine>, gone: &[&str]| Command::Listed {
         engines,
         gone: gone.iter().copied().map(Name::from).collect(),
     };
     let digest = Name("a".repeat(64));
     let with_key = |tenant: &str| {
-        revise(&format!(r#"{{"tenants":{{"{tenant}":{{"keys":["{}"]}}}}}}"#, "b".repeat(64)))
+        revise(&format!(
+            r#"{{"tenants":{{"{tenant}":{{"keys":["{}"]}}}}}}"#,
+            "b".repeat(64)
+        ))
     };
     let cases: Vec<(&str, Vec<Command>, Vec<Command>, Command)> = vec![
-        ("a move after another", vec![], vec![move_to("s-1")], move_to("n-1")),
-        ("a move after it was undone", vec![], vec![move_to("s-1"), unpin.clone()], move_to("s-1")),
-        ("settling another move", vec![move_to("s-1")], vec![move_to("n-1")], settle),
-        ("unpinning another move", vec![move_to("s-1")], vec![move_to("n-1")], unpin),
+        (
+            "a move after another",
+            vec![],
+            vec![move_to("s-1")],
+            move_to("n-1"),
+        ),
+        (
+            "a move after it was undone",
+            vec![],
+            vec![move_to("s-1"), unpin.clone()],
+            move_to("s-1"),
+        ),
+        (
+            "settling another move",
+            vec![move_to("s-1")],
+            vec![move_to("n-1")],
+            settle,
+        ),
+        (
+            "unpinning another move",
+            vec![move_to("s-1")],
+            vec![move_to("n-1")],
+            unpin,
+        ),
         (
             "a move whose tenant went and came",
             vec![move_to("s-1")],
-            vec![revise(r#"{"tenants":{"ana":null}}"#), revise(r#"{"tenants":{"ana":{}}}"#)],
+            vec![
+                revise(r#"{"tenants":{"ana":null}}"#),
+                revise(r#"{"tenants":{"ana":{}}}"#),
+            ],
             move_to("n-1"),
         ),
         (
@@ -252,7 +364,12 @@
             vec![schedule("w", 1, 2), schedule("x", 1, 2)],
             schedule("w", 1, 2),
         ),
-        ("an older count of routers", vec![], vec![Command::Fleet(7)], Command::Fleet(3)),
+        (
+            "an older count of routers",
+            vec![],
+            vec![Command::Fleet(7)],
+            Command::Fleet(3),
+        ),
         (
             "an older revision",
             vec![],
@@ -272,11 +389,17 @@
 /// Guards: what is built on nothing at all is late once there is something.
 #[test]
 fn a_late_first_revision_is_a_conflict() {
-    let mut log = Log { state: State::default(), index: 1 };
+    let mut log = Log {
+        state: State::default(),
+        index: 1,
+    };
     let first = proposal("first", log.index, revise(r#"{"zones":{}}"#));
     assert_eq!(log.state.check(&first), None);
     log.must(revise(TOPOLOGY));
-    assert!(matches!(log.state.check(&first), Some(Outcome::Conflict { .. })));
+    assert!(matches!(
+        log.state.check(&first),
+        Some(Outcome::Conflict { .. })
+    ));
 }
 
 /// Guards: an evacuation that was ordered while a maintenance window has its zone
@@ -296,14 +419,24 @@
             log.must(order.clone());
         }
         log.must(Command::End("w".into()));
-        assert_eq!(log.state.view.evacuated.contains("n-a"), is_shut, "{orders:?}");
+        assert_eq!(
+            log.state.view.evacuated.contains("n-a"),
+            is_shut,
+            "{orders:?}"
+        );
     }
 }
 
 fn adopt(revision: u64, based: u64) -> Command {
-    let config_document =
-        ConfigDocument { revision, based, text: format!("document {revision} on {based}") };
-    Command::Adopt { config_document, text: TOPOLOGY.into() }
+    let config_document = ConfigDocument {
+        revision,
+        based,
+        text: format!("document {revision} on {based}"),
+    };
+    Command::Adopt {
+        config_document,
+        text: TOPOLOGY.into(),
+    }
 }
 
 /// Guards: a change of the configuration is known again, whatever the nodes submit by
@@ -312,15 +445,24 @@
 #[test]
 fn a_taken_change_is_not_forgotten() {
     const CHANGES: u64 = 1_000;
-    let mut log = Log { state: State::default(), index: 1 };
+    let mut log = Log {
+        state: State::default(),
+        index: 1,
+    };
     for change in 1..=CHANGES {
         let id = format!("change-{change}");
         let outcome = log.submit(&id, 0, adopt(change, change - 1));
-        assert!(matches!(outcome, Outcome::Applied { .. }), "{change}: {outcome:?}");
+        assert!(
+            matches!(outcome, Outcome::Applied { .. }),
+            "{change}: {outcome:?}"
+        );
         for round in 0..10 {
             let life = engine(&format!("e-{change}-{round}"), "n-1", 1001);
             let gone = log.state.view.engines.keys().cloned().map(Name).collect();
-            log.must(Command::Listed { engines: vec![life], gone });
+            log.must(Command::Listed {
+                engines: vec![life],
+                gone,
+            });
             log.must(Command::Fleet(round));
         }
     }
--- a/residency/tests/snapshot_size.rs
+++ b/residency/tests/snapshot_size.rs
@@ -38,9 +38,15 @@
 }
 
 fn adopt(revision: u64) -> Command {
-    let config_document =
-        ConfigDocument { revision, based: revision - 1, text: "d".repeat(DOCUMENT_BYTES) };
-    Command::Adopt { config_document, text: topology() }
+    let config_document = ConfigDocument {
+        revision,
+        based: revision - 1,
+        text: "d".repeat(DOCUMENT_BYTES),
+    };
+    Command::Adopt {
+        config_document,
+        text: topology(),
+    }
 }
 
 /// An id of the most characters that are taken.
@@ -57,7 +63,14 @@
     let mut index = 0;
     let mut must = |state: &mut State, command: Command| {
         index += 1;
-        let (outcome, _) = state.apply(index, &Proposal { id: id(index), base: 0, command });
+        let (outcome, _) = state.apply(
+            index,
+            &Proposal {
+                id: id(index),
+                base: 0,
+                command,
+            },
+        );
         assert!(matches!(outcome, Outcome::Applied { .. }), "{outcome:?}");
     };
     must(&mut state, adopt(1));
@@ -70,15 +83,27 @@
     must(&mut state, adopt(2));
     let snapshot = state.snapshot();
     largest = largest.max(snapshot.len());
-    println!("topology file {} bytes, snapshot {largest} bytes", topology().len());
+    println!(
+        "topology file {} bytes, snapshot {largest} bytes",
+        topology().len()
+    );
     assert!(largest < 1 << 20, "{largest} bytes");
 
     let restored = State::restore(&snapshot).expect("it is read back");
     // The keys of the topology file have no order.
     assert_eq!(restored.snapshot().len(), snapshot.len());
-    assert!(restored.view.snapshot() == state.view.snapshot(), "the view is the same");
-    assert!(restored.config_document() == state.config_document(), "the document is the same");
+    assert!(
+        restored.view.snapshot() == state.view.snapshot(),
+        "the view is the same"
+    );
+    assert!(
+        restored.config_document() == state.config_document(),
+        "the document is the same"
+    );
     let oldest_kept = index - residency::RECENT_PROPOSALS as u64 + 1;
     assert!(restored.has_taken(&id(index)) && restored.has_taken(&id(oldest_kept)));
-    assert!(!restored.has_taken(&id(oldest_kept - 1)), "the ones before are forgotten");
+    assert!(
+        !restored.has_taken(&id(oldest_kept - 1)),
+        "the ones before are forgotten"
+    );
 }
