--- a/residency/tests/state.rs
+++ b/residency/tests/state.rs
@@ -14,7 +14,10 @@
 }"#;
 
 fn revise(whole: bool, text: &str) -> Command {
-    Command::Revise { whole, text: text.into() }
+    Command::Revise {
+        whole,
+        text: text.into(),
+    }
 }
 
 fn engine(name: &str, cell: &str, state: EngineState) -> Command {
@@ -38,9 +41,17 @@
 
 impl Bench {
     fn new() -> Bench {
-        let mut bench = Bench { state: State::default(), epoch: 0 };
+        let mut bench = Bench {
+            state: State::default(),
+            epoch: 0,
+        };
         bench.must(revise(true, BOOK));
-        for (name, cell) in [("e-n1", "n-1"), ("e-n2", "n-2"), ("e-s1", "s-1"), ("e-w1", "w-1")] {
+        for (name, cell) in [
+            ("e-n1", "n-1"),
+            ("e-n2", "n-2"),
+            ("e-s1", "s-1"),
+            ("e-w1", "w-1"),
+        ] {
             bench.must(engine(name, cell, EngineState::Serving));
         }
         bench
@@ -48,7 +59,14 @@
 
     fn submit(&mut self, id: &str, base: u64, command: Command) -> (Outcome, Vec<Event>) {
         self.epoch += 1;
-        self.state.apply(self.epoch, &Proposal { id: id.into(), base, command })
+        self.state.apply(
+            self.epoch,
+            &Proposal {
+                id: id.into(),
+                base,
+                command,
+            },
+        )
     }
 
     fn must(&mut self, command: Command) -> Vec<Event> {
@@ -73,7 +91,10 @@
     }
 
     fn cells(&self, tenant: &str, asker: &str) -> Vec<String> {
-        let mapping = self.state.resolve(tenant, "writer", asker).expect("it resolves");
+        let mapping = self
+            .state
+            .resolve(tenant, "writer", asker)
+            .expect("it resolves");
         mapping.cells.iter().map(|cell| cell.0.clone()).collect()
     }
 }
@@ -85,7 +106,10 @@
         ("[]", vec!["an object should stand here"]),
         (r#"{"zons":{}}"#, vec!["zons: no such field"]),
         (r#"{"zones":{"a":{}}}"#, vec!["zones.a.region: a text"]),
-        (r#"{"cells":{"c":{"zone":"nowhere"}}}"#, vec!["cells.c.zone: there is no zone nowhere"]),
+        (
+            r#"{"cells":{"c":{"zone":"nowhere"}}}"#,
+            vec!["cells.c.zone: there is no zone nowhere"],
+        ),
         (
             r#"{"tenants":{"t":{"homes":["mars"],"pace":-1,"fresh":"soon"}}}"#,
             vec![
@@ -94,16 +118,25 @@
                 "tenants.t.fresh: a time",
             ],
         ),
-        (r#"{"tenants":{"t":{"homes":[]}}}"#, vec!["tenants.t.homes: an empty list"]),
+        (
+            r#"{"tenants":{"t":{"homes":[]}}}"#,
+            vec!["tenants.t.homes: an empty list"],
+        ),
         (r#"{"tenants":{"a b":{}}}"#, vec!["tenants.a b: a name is"]),
-        (r#"{"rules":"door"}"#, vec!["rules: line 1, column 5: the line ends"]),
+        (
+            r#"{"rules":"door"}"#,
+            vec!["rules: line 1, column 5: the line ends"],
+        ),
         (
             r#"{"rules":"door a at \"/a/\" tenant bearer\nroute r on a GET \"/a/x\" to service ghost once"}"#,
             vec!["rules: route r names no known service"],
         ),
     ];
     for (text, wanted) in cases {
-        let mut bench = Bench { state: State::default(), epoch: 0 };
+        let mut bench = Bench {
+            state: State::default(),
+            epoch: 0,
+        };
         let found = bench.refused(revise(true, text));
         for wanted in wanted {
             assert!(found.contains(wanted), "{text}: {found:?} lacks {wanted:?}");
@@ -113,8 +146,12 @@
 
 #[test]
 fn what_is_refused_and_why() {
-    let key =
-        |name: &str, within: &str| Command::Key(Place { name: name.into(), within: within.into() });
+    let key = |name: &str, within: &str| {
+        Command::Key(Place {
+            name: name.into(),
+            within: within.into(),
+        })
+    };
     let pair = |tenant: &str, cell: &str| Command::Move {
         tenant: tenant.into(),
         service: "writer".into(),
@@ -124,14 +161,32 @@
         (key("short", "ana"), "64 hexadecimal digits"),
         (key(&"a".repeat(64), "nobody"), "no tenant nobody"),
         (Command::KeyGone("b".into()), "no such key"),
-        (engine("x", "nowhere", EngineState::Serving), "no cell nowhere"),
+        (
+            engine("x", "nowhere", EngineState::Serving),
+            "no cell nowhere",
+        ),
         (Command::EngineGone("x".into()), "no engine x"),
-        (Command::EngineState { name: "x".into(), state: EngineState::Draining }, "no engine x"),
+        (
+            Command::EngineState {
+                name: "x".into(),
+                state: EngineState::Draining,
+            },
+            "no engine x",
+        ),
         (Command::Evacuate("mars".into()), "no zone mars"),
         (pair("ana", "w-1"), "outside the homes"),
         (pair("ana", "mars"), "no cell mars"),
-        (Command::Settle { tenant: "ana".into(), service: "writer".into() }, "is not moved"),
-        (revise(false, r#"{"cells":{"n-1":null}}"#), "engine e-n1 is listed in cell n-1"),
+        (
+            Command::Settle {
+                tenant: "ana".into(),
+                service: "writer".into(),
+            },
+            "is not moved",
+        ),
+        (
+            revise(false, r#"{"cells":{"n-1":null}}"#),
+            "engine e-n1 is listed in cell n-1",
+        ),
     ];
     for (command, wanted) in cases {
         let mut bench = Bench::new();
@@ -146,10 +201,18 @@
     let mut bench = Bench::new();
     let evacuate = || Command::Evacuate("n-a".into());
     let (first, _) = bench.submit("one", 0, evacuate());
-    let Outcome::Applied { epoch } = first else { panic!("{first:?}") };
-    assert_eq!(bench.submit("one", 0, evacuate()).0, Outcome::Repeated { epoch });
+    let Outcome::Applied { epoch } = first else {
+        panic!("{first:?}")
+    };
+    assert_eq!(
+        bench.submit("one", 0, evacuate()).0,
+        Outcome::Repeated { epoch }
+    );
     let (other, _) = bench.submit("one", 0, Command::GiveBack("n-a".into()));
-    assert!(matches!(other, Outcome::Refused(_)), "one id stands for one change");
+    assert!(
+        matches!(other, Outcome::Refused(_)),
+        "one id stands for one change"
+    );
     let (late, _) = bench.submit("two", epoch - 1, Command::GiveBack("n-a".into()));
     assert_eq!(late, Outcome::Conflict { epoch });
     let (based, _) = bench.submit("three", epoch, Command::GiveBack("n-a".into()));
@@ -169,26 +232,49 @@
     let ana = bench.cells("ana", "west");
     assert_eq!(ana.len(), 3);
     assert!(ana[0].starts_with("n-") && ana[1].starts_with("n-") && ana[2] == "s-1");
-    assert_eq!(bench.cells("any", "west")[0], "w-1", "without a home the caller's region is first");
     assert_eq!(
-        bench.state.resolve("ben", "tight", "west").expect_err("no common region").0,
+        bench.cells("any", "west")[0],
+        "w-1",
+        "without a home the caller's region is first"
+    );
+    assert_eq!(
+        bench
+            .state
+            .resolve("ben", "tight", "west")
+            .expect_err("no common region")
+            .0,
         "no-place"
     );
 
     bench.must(Command::Evacuate("s-a".into()));
     assert_eq!(
-        bench.state.resolve("ben", "writer", "south").expect_err("its home is empty").0,
+        bench
+            .state
+            .resolve("ben", "writer", "south")
+            .expect_err("its home is empty")
+            .0,
         "no-place"
     );
-    assert_eq!(bench.cells("ana", "south").len(), 3, "an evacuated spill cell keeps its place");
+    assert_eq!(
+        bench.cells("ana", "south").len(),
+        3,
+        "an evacuated spill cell keeps its place"
+    );
     bench.must(Command::GiveBack("s-a".into()));
     bench.must(Command::Evacuate("n-a".into()));
-    let mapping = bench.state.resolve("ana", "writer", "north").expect("the south is left");
+    let mapping = bench
+        .state
+        .resolve("ana", "writer", "north")
+        .expect("the south is left");
     assert_eq!(mapping.cells[0].0, "s-1");
     assert_eq!(mapping.fresh_ms, 0, "never fresh while its home is drained");
     bench.must(Command::GiveBack("n-a".into()));
     assert_eq!(
-        bench.state.resolve("ana", "writer", "north").expect("it resolves").fresh_ms,
+        bench
+            .state
+            .resolve("ana", "writer", "north")
+            .expect("it resolves")
+            .fresh_ms,
         10_000
     );
 }
@@ -198,7 +284,11 @@
     let mut bench = Bench::new();
     let (tenant, service) = (Name::from("ana"), Name::from("writer"));
     let fresh = |bench: &Bench| {
-        bench.state.resolve("ana", "writer", "north").expect("it resolves").fresh_ms
+        bench
+            .state
+            .resolve("ana", "writer", "north")
+            .expect("it resolves")
+            .fresh_ms
     };
     let first = bench.cells("ana", "north")[0].clone();
     bench.must(Command::Move {
@@ -206,10 +296,22 @@
         service: service.clone(),
         cell: "s-1".into(),
     });
-    assert_eq!((bench.cells("ana", "north")[0].as_str(), fresh(&bench)), ("s-1", 0));
-    let events = bench.must(Command::Settle { tenant: tenant.clone(), service: service.clone() });
-    assert_eq!(events, [Event::Touched(InvalidationScope::Key("ana/writer".into()))]);
-    assert_eq!((bench.cells("ana", "north")[0].as_str(), fresh(&bench)), ("s-1", 10_000));
+    assert_eq!(
+        (bench.cells("ana", "north")[0].as_str(), fresh(&bench)),
+        ("s-1", 0)
+    );
+    let events = bench.must(Command::Settle {
+        tenant: tenant.clone(),
+        service: service.clone(),
+    });
+    assert_eq!(
+        events,
+        [Event::Touched(InvalidationScope::Key("ana/writer".into()))]
+    );
+    assert_eq!(
+        (bench.cells("ana", "north")[0].as_str(), fresh(&bench)),
+        ("s-1", 10_000)
+    );
     bench.must(Command::Unpin { tenant, service });
     assert_eq!(bench.cells("ana", "north")[0], first);
 }
@@ -233,10 +335,19 @@
             revise(false, r#"{"tenants":{"ben":null}}"#),
             vec![InvalidationScope::Tenant("ben".into())],
         ),
-        (revise(false, r#"{"cells":{"w-2":{"zone":"w-a"}}}"#), vec![InvalidationScope::All]),
+        (
+            revise(false, r#"{"cells":{"w-2":{"zone":"w-a"}}}"#),
+            vec![InvalidationScope::All],
+        ),
         (engine("e-n4", "n-1", EngineState::Serving), vec![]),
-        (engine("e-n1", "n-1", EngineState::Draining), vec![InvalidationScope::All]),
-        (Command::Evacuate("w-a".into()), vec![InvalidationScope::Home("west".into())]),
+        (
+            engine("e-n1", "n-1", EngineState::Draining),
+            vec![InvalidationScope::All],
+        ),
+        (
+            Command::Evacuate("w-a".into()),
+            vec![InvalidationScope::Home("west".into())],
+        ),
     ];
     for (command, wanted) in cases {
         let mut bench = Bench::new();
@@ -248,7 +359,10 @@
 fn a_tenant_that_goes_takes_its_keys_along() {
     let mut bench = Bench::new();
     let digest = policy::fingerprint("a key of ben's");
-    bench.must(Command::Key(Place { name: digest.clone(), within: "ben".into() }));
+    bench.must(Command::Key(Place {
+        name: digest.clone(),
+        within: "ben".into(),
+    }));
     assert!(bench.state.view.keys.contains_key(&digest));
     bench.must(revise(false, r#"{"tenants":{"ben":null}}"#));
     assert!(bench.state.view.keys.is_empty());
@@ -281,9 +395,14 @@
         }
         assert!(bench.state.due(now).is_empty());
         let shut = bench.state.view.evacuated.iter().cloned();
-        let drained =
-            bench.state.view.engines.values().filter(|e| e.state == EngineState::Draining);
-        shut.chain(drained.map(|engine| engine.name.clone())).collect()
+        let drained = bench
+            .state
+            .view
+            .engines
+            .values()
+            .filter(|e| e.state == EngineState::Draining);
+        shut.chain(drained.map(|engine| engine.name.clone()))
+            .collect()
     };
     let cases: Vec<(u64, Vec<&str>)> = vec![
         (99, vec!["w-a"]),
@@ -305,8 +424,17 @@
     assert!(bench.state.windows().next().is_none());
     let odd = [
         (vec![window("x", zone("mars"), 1, 2)], "is not known"),
-        (vec![window("x", zone("s-a"), 2, 2)], "ends before it begins"),
-        (vec![window("x", zone("s-a"), 1, 2), window("x", zone("n-a"), 1, 2)], "stands twice"),
+        (
+            vec![window("x", zone("s-a"), 2, 2)],
+            "ends before it begins",
+        ),
+        (
+            vec![
+                window("x", zone("s-a"), 1, 2),
+                window("x", zone("n-a"), 1, 2),
+            ],
+            "stands twice",
+        ),
     ];
     for (windows, wanted) in odd {
         let found = bench.refused(Command::Schedule(windows));
@@ -327,7 +455,11 @@
     let mut copy = State::restore(&bench.state.snapshot()).expect("a picture reads back");
     assert_eq!(copy.epoch(), bench.state.epoch());
     assert_eq!(copy.view.snapshot(), bench.state.view.snapshot());
-    let again = Proposal { id: "id-0".into(), base: 0, command: revise(true, BOOK) };
+    let again = Proposal {
+        id: "id-0".into(),
+        base: 0,
+        command: revise(true, BOOK),
+    };
     assert_eq!(copy.apply(99, &again).0, Outcome::Repeated { epoch: 1 });
     for tenant in ["ana", "ben", "any"] {
         let ask = |state: &State| state.resolve(tenant, "writer", "west").ok();
@@ -343,12 +475,23 @@
 fn an_adopted_book_is_revised_by_documents_alone() {
     use residency::ConfigDocument;
     let mut state = State::default();
-    let proposal = |id: &str, command: Command| Proposal { id: id.into(), base: 0, command };
+    let proposal = |id: &str, command: Command| Proposal {
+        id: id.into(),
+        base: 0,
+        command,
+    };
     let adopt = |revision: u64, based: u64| Command::Adopt {
-        config_document: ConfigDocument { revision, based, text: format!("document {revision}") },
+        config_document: ConfigDocument {
+            revision,
+            based,
+            text: format!("document {revision}"),
+        },
+        text: "{}".into(),
+    };
+    let revise = Command::Revise {
+        whole: true,
         text: "{}".into(),
     };
-    let revise = Command::Revise { whole: true, text: "{}".into() };
     let cases = [
         ("a", revise.clone(), true),
         ("b", adopt(5, 0), true),
@@ -363,7 +506,10 @@
         assert_eq!(was_taken, is_taken, "{id}: {outcome:?}");
     }
     assert_eq!(
-        (state.config_document().revision, &*state.config_document().text),
+        (
+            state.config_document().revision,
+            &*state.config_document().text
+        ),
         (9, "document 9")
     );
     let back = State::restore(&state.snapshot()).expect("its picture reads");
--- a/router/src/company.rs
+++ b/router/src/company.rs
@@ -5,6 +5,7 @@
 use consensus::Member;
 use parking_lot::Mutex;
 use placement::Hit;
+use protocol::{Frame, Front, Kind, News};
 use residency::Mapping;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,7 +13,6 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
-use protocol::{Frame, Front, Kind, News};
 use transport::{link, now};
 
 /// A neighbour that takes longer is a miss.
@@ -42,12 +42,21 @@
         let (at, has_gap) = (now(), now() >= self.told + SETTLED_MS);
         self.known.take(news);
         let is_listed = self.fronts().any(|front| front.name == name);
-        self.listed = self.listed.filter(|_| !has_gap).or(Some(at)).filter(|_| is_listed);
+        self.listed = self
+            .listed
+            .filter(|_| !has_gap)
+            .or(Some(at))
+            .filter(|_| is_listed);
         self.told = at;
         if news.is_first != 0 || !news.fronts.is_empty() || !news.gone.is_empty() {
             let own = policy::mark(name.as_bytes());
-            let marks = self.known.fronts().map(|front| policy::mark(front.name.as_bytes()));
-            self.marks = std::iter::once(own).chain(marks.filter(|mark| *mark != own)).collect();
+            let marks = self
+                .known
+                .fronts()
+                .map(|front| policy::mark(front.name.as_bytes()));
+            self.marks = std::iter::once(own)
+                .chain(marks.filter(|mark| *mark != own))
+                .collect();
         }
     }
 
@@ -118,10 +127,16 @@
         return known.clone();
     }
     let (out, queue) = mpsc::channel(256);
-    let fresh = Neighbour { out, looks: Looks::default() };
+    let fresh = Neighbour {
+        out,
+        looks: Looks::default(),
+    };
     links.insert(to, fresh.clone());
-    let (name, source, looks) =
-        (router.boot.name.clone(), router.boot.listen, Arc::clone(&fresh.looks));
+    let (name, source, looks) = (
+        router.boot.name.clone(),
+        router.boot.listen,
+        Arc::clone(&fresh.looks),
+    );
     tokio::spawn(async move {
         if let Err(error) = carry(source, to, &name, queue, looks).await {
             log::debug!("neighbour {to}: {error:#}");
@@ -164,13 +179,19 @@
 
 /// Looks a key up in the region's layer. Failing is a miss.
 pub async fn look(router: &Arc<Router>, key: &str) -> Hit<Mapping> {
-    let Some(to) = owner(router, key) else { return router.layers.share(key) };
+    let Some(to) = owner(router, key) else {
+        return router.layers.share(key);
+    };
     let neighbour = neighbour(router, to);
     let number = rand::random();
     let (sender, receiver) = oneshot::channel();
     neighbour.looks.lock().insert(number, sender);
     let epoch = router.view.borrow().epoch;
-    drop(neighbour.out.try_send(Frame::Look { number, key: key.into(), epoch }));
+    drop(neighbour.out.try_send(Frame::Look {
+        number,
+        key: key.into(),
+        epoch,
+    }));
     let seen = tokio::time::timeout(LOOK_PATIENCE, receiver).await;
     neighbour.looks.lock().remove(&number);
     match seen {
@@ -193,7 +214,11 @@
     router.layers.keep_own(mapping);
     match owner(router, &mapping.key()) {
         None => router.layers.keep_share(mapping),
-        Some(to) => drop(neighbour(router, to).out.try_send(Frame::Keep(mapping.clone()))),
+        Some(to) => drop(
+            neighbour(router, to)
+                .out
+                .try_send(Frame::Keep(mapping.clone())),
+        ),
     }
 }
 
@@ -203,13 +228,20 @@
 
 async fn serve(router: Arc<Router>, mut stream: TcpStream) -> anyhow::Result<()> {
     let (kind, name) = link::greet(&mut stream).await?;
-    anyhow::ensure!(kind == Kind::Neighbour, "{name} takes this for a directory node");
+    anyhow::ensure!(
+        kind == Kind::Neighbour,
+        "{name} takes this for a directory node"
+    );
     while let Some(frame) = link::receive(&mut stream, 1 << 20).await? {
         match frame {
             Frame::Look { number, key, epoch } => {
                 // A share that is behind the asker does not know what is void.
                 let is_behind = router.view.borrow().epoch < epoch;
-                let hit = if is_behind { Hit::Miss } else { router.layers.share(&key) };
+                let hit = if is_behind {
+                    Hit::Miss
+                } else {
+                    router.layers.share(&key)
+                };
                 let mapping = match hit {
                     Hit::Fresh(mapping) | Hit::Stale(mapping) => vec![mapping],
                     Hit::Miss => Vec::new(),
@@ -217,7 +249,12 @@
                 link::send(&mut stream, &Frame::Seen { number, mapping }).await?;
             }
             Frame::Keep(mapping) => router.layers.keep_share(&mapping),
-            Frame::Tidings { from, is_relayed, loads, kept } => {
+            Frame::Tidings {
+                from,
+                is_relayed,
+                loads,
+                kept,
+            } => {
                 crate::tidings::take(&router, &from, is_relayed != 0, loads, kept);
             }
             other => anyhow::bail!("an unexpected frame from a neighbour: {other:?}"),
--- a/router/src/door.rs
+++ b/router/src/door.rs
@@ -8,13 +8,13 @@
 use dropshot::Body;
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
-use policy::{Extract, Field, Head, Source, Target, BODY_CAP};
 use placement::{Event, Hit, Job, Outcome, State};
+use policy::{Extract, Field, Head, Source, Target, BODY_CAP};
+use protocol::Answer;
 use residency::{Mapping, View};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
-use protocol::Answer;
 use transport::dispatch::{step, Carried, Parts, Rest};
 use transport::doors::{self, Doors};
 use transport::now;
@@ -38,7 +38,12 @@
         let router = Arc::clone(&router);
         Box::pin(async move { answer(router, request).await })
     });
-    Ok(doors::serve(listener, Box::new(move || view.borrow().limits), handler, opened))
+    Ok(doors::serve(
+        listener,
+        Box::new(move || view.borrow().limits),
+        handler,
+        opened,
+    ))
 }
 
 /// A router that begins opens its doors with its first lease: whoever comes a
@@ -107,7 +112,10 @@
         }
         let text = "a job of this id is under way here; its own answer says what becomes of it";
         let refusal = Refusal::not_run(409, "job-under-way", text);
-        Err(Refusal { outcome: Outcome::Unknown, ..refusal })
+        Err(Refusal {
+            outcome: Outcome::Unknown,
+            ..refusal
+        })
     }
 }
 
@@ -132,7 +140,14 @@
 
 impl Reader<'_> {
     fn with<T>(&self, ask: impl FnOnce(&Head) -> T) -> T {
-        let header = |name: &str| self.parts.headers.get(name)?.to_str().ok().map(String::from);
+        let header = |name: &str| {
+            self.parts
+                .headers
+                .get(name)?
+                .to_str()
+                .ok()
+                .map(String::from)
+        };
         ask(&Head {
             method: self.parts.method.as_str(),
             path: self.parts.uri.path(),
@@ -143,16 +158,29 @@
     }
 
     fn extract(&self, route: usize, body: &[u8], is_ended: bool) -> Extract {
-        self.with(|head| self.view.program.extract(route, head, body, is_ended, BODY_CAP))
+        self.with(|head| {
+            self.view
+                .program
+                .extract(route, head, body, is_ended, BODY_CAP)
+        })
     }
 
     /// The tenant of a key that was read; an unknown key goes no further.
     fn tenant(&self, extract: &Extract) -> Result<Option<Caller>, Refusal> {
-        let Field::Known(key) = &extract.tenant else { return Ok(None) };
+        let Field::Known(key) = &extract.tenant else {
+            return Ok(None);
+        };
         let key = policy::fingerprint(key);
         match self.view.keys.get(&key) {
-            Some(tenant) => Ok(Some(Caller { tenant: tenant.clone(), key })),
-            None => Err(Refusal::not_run(401, "unknown-key", "this tenant key is not known")),
+            Some(tenant) => Ok(Some(Caller {
+                tenant: tenant.clone(),
+                key,
+            })),
+            None => Err(Refusal::not_run(
+                401,
+                "unknown-key",
+                "this tenant key is not known",
+            )),
         }
     }
 }
@@ -172,7 +200,10 @@
         return Err(Refusal::not_run(400, "http-version", text));
     }
     let view = router.view.borrow().clone();
-    let longest = router.boot.body.min(usize::try_from(view.limits.body).unwrap_or(usize::MAX));
+    let longest = router
+        .boot
+        .body
+        .min(usize::try_from(view.limits.body).unwrap_or(usize::MAX));
     if body.size_hint().lower() > longest as u64 {
         // Not a byte of it has to come for that.
         router.leave()?;
@@ -194,12 +225,23 @@
     }
     // One is held by the router itself, one by this job.
     if Arc::strong_count(&router.under_way) > router.boot.jobs + 1 {
-        let text = format!("{} jobs are under way here; ask another router", router.boot.jobs);
+        let text = format!(
+            "{} jobs are under way here; ask another router",
+            router.boot.jobs
+        );
         return Err(Refusal::not_run(503, "router-full", text));
     }
-    let reader = Reader { view: &view, parts: &head, draw: policy::mark(id.as_bytes()) };
+    let reader = Reader {
+        view: &view,
+        parts: &head,
+        draw: policy::mark(id.as_bytes()),
+    };
     let Some(route) = reader.with(|head| view.program.route(head)) else {
-        return Err(Refusal::not_run(404, "no-route", "no route fits this method and path"));
+        return Err(Refusal::not_run(
+            404,
+            "no-route",
+            "no route fits this method and path",
+        ));
     };
     let mut body = body.take().expect("it is taken here alone");
     let announced = body.size_hint().lower() as usize;
@@ -223,12 +265,18 @@
     };
     (router.ports.retries.earn)(arrived, service, view.program.points.retries);
     let mut caller = match rule.is_public {
-        true => Some(Caller { tenant: String::new(), key: String::new() }),
+        true => Some(Caller {
+            tenant: String::new(),
+            key: String::new(),
+        }),
         false => reader.tenant(&extract)?,
     };
     let door = &view.program.doors[rule.door];
     if caller.is_none() && extract.tenant == Field::Missing && door.tenant.is_cheap() {
-        let text = format!("door {} finds no tenant key where it should stand", door.name);
+        let text = format!(
+            "door {} finds no tenant key where it should stand",
+            door.name
+        );
         return Err(Refusal::not_run(401, "no-key", text));
     }
     let until = tokio::time::Instant::now() + router.boot.head;
@@ -263,13 +311,19 @@
     let is_past_cap = held.len() >= BODY_CAP;
     let rest = (!is_ended).then(|| rest_of(body, longest.saturating_sub(held.len())));
     let mut carried = Carried::new(held.freeze(), rest);
-    let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_string();
+    let target = head
+        .uri
+        .path_and_query()
+        .map_or("/", |target| target.as_str())
+        .to_string();
     let parts = Parts {
         id: id.into(),
         method: head.method.clone(),
         target,
         headers: head.headers.clone(),
-        key: caller.as_ref().map_or(String::new(), |caller| caller.key.clone()),
+        key: caller
+            .as_ref()
+            .map_or(String::new(), |caller| caller.key.clone()),
         deadline,
         prompt: reader.with(|head| view.program.prompt(rule, head)),
         urgency: caller
@@ -299,29 +353,47 @@
             return Err(Refusal::not_run(400, "no-model", text));
         }
     };
-    let terms = view.tenants.get(&tenant).map_or((0, 0), |terms| (terms.pace, terms.burst));
+    let terms = view
+        .tenants
+        .get(&tenant)
+        .map_or((0, 0), |terms| (terms.pace, terms.burst));
     let routers = match view.fleet as usize {
         0 => 0,
         known => known.max(router.company.read().count()),
     };
-    if let Err(refusal) = router.quota.admit(&tenant, terms, routers, router.boot.quota).await {
+    if let Err(refusal) = router
+        .quota
+        .admit(&tenant, terms, routers, router.boot.quota)
+        .await
+    {
         router.counters.one("refused-quota");
         return Err(refusal);
     }
     log::info!(job = id; "admitted");
     let homes = rule.homes.clone();
-    let keyed = Keyed { tenant, service, prefix: extract.prefix.unwrap_or(0), homes };
+    let keyed = Keyed {
+        tenant,
+        service,
+        prefix: extract.prefix.unwrap_or(0),
+        homes,
+    };
     route_keyed(router, job, &parts, carried, &keyed).await
 }
 
 fn long_body(longest: usize) -> Refusal {
-    Refusal::not_run(413, "long-body", format!("a body holds {longest} bytes at the most"))
+    Refusal::not_run(
+        413,
+        "long-body",
+        format!("a body holds {longest} bytes at the most"),
+    )
 }
 
 /// The rest of a caller's body, with a bound on its length.
 fn rest_of(body: Body, left: usize) -> Rest {
     let limited = http_body_util::Limited::new(body, left);
-    limited.map_err(|error| anyhow::anyhow!("{error}")).boxed_unsync()
+    limited
+        .map_err(|error| anyhow::anyhow!("{error}"))
+        .boxed_unsync()
 }
 
 struct Keyed {
@@ -343,7 +415,11 @@
     while held.len() < most {
         match tokio::time::timeout_at(until, body.frame()).await {
             Err(_) => {
-                return Err(Refusal::not_run(408, "slow-body", "the body came too slowly"));
+                return Err(Refusal::not_run(
+                    408,
+                    "slow-body",
+                    "the body came too slowly",
+                ));
             }
             Ok(None) => return Ok(true),
             Ok(Some(Ok(frame))) => {
@@ -369,14 +445,26 @@
         return Ok(mapping);
     }
     let is_home = |region: &String| homes.contains(region);
-    let regions = mapping.regions.into_iter().filter(|region| is_home(&region.0)).collect();
+    let regions = mapping
+        .regions
+        .into_iter()
+        .filter(|region| is_home(&region.0))
+        .collect();
     let in_home = |cell: &str| view.cell(cell).is_some_and(|cell| is_home(&cell.region));
-    let cells: Vec<_> = mapping.cells.into_iter().filter(|cell| in_home(&cell.0)).collect();
+    let cells: Vec<_> = mapping
+        .cells
+        .into_iter()
+        .filter(|cell| in_home(&cell.0))
+        .collect();
     if cells.is_empty() {
         let text = "no engine stands where this route and this tenant may be served";
         return Err(Refusal::not_run(503, "no-place", text));
     }
-    Ok(Mapping { regions, cells, ..mapping })
+    Ok(Mapping {
+        regions,
+        cells,
+        ..mapping
+    })
 }
 
 /// A job whose key lies past the cap: the whole of it goes to a directory node
@@ -420,7 +508,9 @@
         let mut chart = job;
         step(&mut chart, Event::MappingFound);
         let work =
-            router.dispatcher.dispatch(&mut chart, parts, &mut carried, &mapping, keyed.prefix);
+            router
+                .dispatcher
+                .dispatch(&mut chart, parts, &mut carried, &mapping, keyed.prefix);
         match work.await {
             Ok(answer) => {
                 let mut response = hyper::Response::new(Body::wrap(answer.body));
@@ -476,14 +566,22 @@
 
 /// Asks for a key behind the job that used its stale mapping.
 fn refresh(router: &Arc<Router>, key: &str, keyed: &Keyed) {
-    let Ok(asker) = router.layers.ask(key) else { return };
-    let (router, tenant, service) =
-        (Arc::clone(router), keyed.tenant.clone(), keyed.service.clone());
+    let Ok(asker) = router.layers.ask(key) else {
+        return;
+    };
+    let (router, tenant, service) = (
+        Arc::clone(router),
+        keyed.tenant.clone(),
+        keyed.service.clone(),
+    );
     tokio::spawn(async move {
         tokio::time::sleep(transport::jitter(20)).await;
         router.counters.one("refreshes");
         let region = &router.boot.region;
-        let answer = router.questions.resolve(&tenant, &service, region, RESOLVE_PATIENCE).await;
+        let answer = router
+            .questions
+            .resolve(&tenant, &service, region, RESOLVE_PATIENCE)
+            .await;
         if let Answer::Mapping(mapping) = answer {
             company::keep(&router, &mapping);
             asker.bring(&mapping);
@@ -529,7 +627,11 @@
             }
         }
         if now() >= parts.deadline {
-            return Err(Refusal::not_run(504, "deadline", "the job's deadline passed"));
+            return Err(Refusal::not_run(
+                504,
+                "deadline",
+                "the job's deadline passed",
+            ));
         }
     };
     let tenant = Some(&*keyed.tenant);
@@ -564,19 +666,27 @@
 ) -> Result<Missed, Refusal> {
     router.counters.one("key-only");
     let region = &router.boot.region;
-    match router.questions.resolve(&keyed.tenant, &keyed.service, region, RESOLVE_PATIENCE).await {
+    match router
+        .questions
+        .resolve(&keyed.tenant, &keyed.service, region, RESOLVE_PATIENCE)
+        .await
+    {
         Answer::Mapping(mapping) => {
             company::keep(router, &mapping);
             asker.bring(&mapping);
             Ok(Missed::Mapping(mapping))
         }
-        Answer::None { code, text } => {
-            Err(Refusal { outcome: job.outcome(), ..web::no_place(&code.0, text.0) })
-        }
+        Answer::None { code, text } => Err(Refusal {
+            outcome: job.outcome(),
+            ..web::no_place(&code.0, text.0)
+        }),
         Answer::Later => {
             let text = "no directory node can answer for this key now";
             let refusal = Refusal::not_run(503, "no-directory", text);
-            Err(Refusal { outcome: job.outcome(), ..refusal })
+            Err(Refusal {
+                outcome: job.outcome(),
+                ..refusal
+            })
         }
     }
 }
@@ -593,17 +703,24 @@
         return Err(Refusal::not_run(401, "no-key", text));
     };
     let Some(tenant) = view.keys.get(&policy::fingerprint(key)) else {
-        return Err(Refusal::not_run(401, "unknown-key", "this tenant key is not known"));
+        return Err(Refusal::not_run(
+            401,
+            "unknown-key",
+            "this tenant key is not known",
+        ));
     };
     let zone = web::query(request.uri(), "zone").unwrap_or(router.boot.zone.clone());
     let Some(region) = view.zones.get(&zone) else {
-        return Err(Refusal::not_run(400, "unknown-zone", format!("there is no zone {zone}")));
+        return Err(Refusal::not_run(
+            400,
+            "unknown-zone",
+            format!("there is no zone {zone}"),
+        ));
     };
     // A body may be seen in the caller's own region and in its homes.
-    let homes: Vec<&str> = view
-        .tenants
-        .get(tenant)
-        .map_or(Vec::new(), |terms| terms.homes.iter().map(|home| home.0.as_str()).collect());
+    let homes: Vec<&str> = view.tenants.get(tenant).map_or(Vec::new(), |terms| {
+        terms.homes.iter().map(|home| home.0.as_str()).collect()
+    });
     let company = router.company.read();
     let mut fronts: Vec<(u8, usize, u32, &protocol::Front)> = company
         .fronts()
@@ -635,5 +752,8 @@
             })
         })
         .collect();
-    Ok(web::json(200, &simd_json::json!({ "zone": zone, "routers": routers })))
+    Ok(web::json(
+        200,
+        &simd_json::json!({ "zone": zone, "routers": routers }),
+    ))
 }
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -6,6 +6,7 @@
 use dropshot::Body;
 use http_body_util::BodyExt;
 use placement::{Event, Job, Outcome};
+use protocol::{Frame, JobHead, Kind};
 use residency::Mapping;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +14,6 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use protocol::{Frame, JobHead, Kind};
 use transport::dispatch::{clean, headers_of, headers_to, step, Carried, Parts, Piped, Rest, IDLE};
 use transport::roster::Aborting;
 use transport::web::{Refusal, Response};
@@ -41,13 +41,20 @@
     let company = router.company.read();
     let place = |region: &str| match region == router.boot.region {
         true => Some(0),
-        false => homes.iter().position(|home| home.0 == region).map(|at| at + 1),
+        false => homes
+            .iter()
+            .position(|home| home.0 == region)
+            .map(|at| at + 1),
     };
     let mut nodes: Vec<(usize, u32, SocketAddr)> = company
         .directories()
         .iter()
         .filter_map(|member| {
-            Some((place(&member.region)?, rand::random(), member.address.parse().ok()?))
+            Some((
+                place(&member.region)?,
+                rand::random(),
+                member.address.parse().ok()?,
+            ))
         })
         .collect();
     nodes.sort();
@@ -122,7 +129,10 @@
 
 fn lost(status: u16, code: &'static str, text: &str) -> Handed {
     let refusal = Refusal::not_run(status, code, text);
-    Handed::Refused(Refusal { outcome: Outcome::Unknown, ..refusal })
+    Handed::Refused(Refusal {
+        outcome: Outcome::Unknown,
+        ..refusal
+    })
 }
 
 async fn converse(
@@ -156,10 +166,14 @@
         send_end(&mut way).await?;
     } else if asker.is_none() {
         let rest = carried.take_rest();
-        upload = rest.zip(way.take()).map(|(rest, writer)| send_rest(rest, writer));
+        upload = rest
+            .zip(way.take())
+            .map(|(rest, writer)| send_rest(rest, writer));
     }
     let mut mapping: Option<Mapping> = None;
-    let service = asker.and_then(|asker| asker.key().split_once('/')).map_or("", |pair| pair.1);
+    let service = asker
+        .and_then(|asker| asker.key().split_once('/'))
+        .map_or("", |pair| pair.1);
     let has_budget = || (router.dispatcher.budget)(service);
     loop {
         match link::receive(&mut reader, protocol::CAP).await? {
@@ -179,12 +193,15 @@
             // Neither the node nor an engine has room, or it can't reach the
             // engine that it elected: the latter's next round is one more, and
             // needs the budget.
-            Some(Frame::Declined { not_run: true, code, .. })
-                if carried.is_whole()
-                    && mapping.is_some()
-                    && (code == "directory-full"
-                        || code == "engines-full"
-                        || code == "engines-unreachable" && has_budget()) =>
+            Some(Frame::Declined {
+                not_run: true,
+                code,
+                ..
+            }) if carried.is_whole()
+                && mapping.is_some()
+                && (code == "directory-full"
+                    || code == "engines-full"
+                    || code == "engines-unreachable" && has_budget()) =>
             {
                 step(job, Event::HandedBack);
                 router.counters.one("handed-back");
@@ -193,7 +210,13 @@
                 }
                 return Ok(Handed::Mapped(mapping.expect("looked at above")));
             }
-            Some(Frame::Declined { not_run, status, code, text, retry_after_ms }) => {
+            Some(Frame::Declined {
+                not_run,
+                status,
+                code,
+                text,
+                retry_after_ms,
+            }) => {
                 let mut refusal = Refusal::not_run(status, &code, text);
                 if !not_run {
                     step(job, Event::AnswerLost);
@@ -207,7 +230,12 @@
                     (http::StatusCode::from_u16(status)?, headers_of(&headers)?);
                 step(job, Event::AnswerBegan);
                 let (pieces, body) = mpsc::channel(8);
-                let relay = Relay { reader, pieces, _way: way, _upload: upload };
+                let relay = Relay {
+                    reader,
+                    pieces,
+                    _way: way,
+                    _upload: upload,
+                };
                 let (id, counters) = (parts.id.clone(), Arc::clone(&router.counters));
                 tokio::spawn(async move {
                     match relay.run().await {
--- a/router/src/layers.rs
+++ b/router/src/layers.rs
@@ -52,19 +52,28 @@
 
     pub fn is_void(&self, mapping: &Mapping) -> bool {
         let touches = self.touches.lock();
-        touches.0.iter().any(|(touch, epoch)| mapping.epoch < *epoch && touch.covers(mapping))
+        touches
+            .0
+            .iter()
+            .any(|(touch, epoch)| mapping.epoch < *epoch && touch.covers(mapping))
     }
 
     /// Drops what the events of an entry make void.
     pub fn touch(&self, epoch: u64, events: &[Event]) {
         for event in events {
-            let Event::Touched(touch) = event else { continue };
+            let Event::Touched(touch) = event else {
+                continue;
+            };
             let mut touches = self.touches.lock();
-            touches.0.retain(|(known, _)| *touch != InvalidationScope::All && known != touch);
+            touches
+                .0
+                .retain(|(known, _)| *touch != InvalidationScope::All && known != touch);
             touches.0.push((touch.clone(), epoch));
             drop(touches);
             self.own.lock().drop_where(|mapping| touch.covers(mapping));
-            self.share.lock().drop_where(|mapping| touch.covers(mapping));
+            self.share
+                .lock()
+                .drop_where(|mapping| touch.covers(mapping));
         }
     }
 
@@ -80,7 +89,11 @@
     /// This router's share of the region's layer; times are what is left.
     pub fn share(&self, key: &str) -> Hit<Mapping> {
         let (hit, fresh_ms, expire_ms) = self.share.lock().get(key, now());
-        let left = |mapping| Mapping { fresh_ms, expire_ms, ..mapping };
+        let left = |mapping| Mapping {
+            fresh_ms,
+            expire_ms,
+            ..mapping
+        };
         match hit {
             Hit::Fresh(mapping) => Hit::Fresh(left(mapping)),
             Hit::Stale(mapping) => Hit::Stale(left(mapping)),
@@ -118,7 +131,10 @@
         let (sender, receiver) = watch::channel(None);
         asking.retain(|_, receiver| receiver.has_changed().is_ok());
         asking.insert(key.to_string(), receiver);
-        Ok(Asker { key: key.into(), sender })
+        Ok(Asker {
+            key: key.into(),
+            sender,
+        })
     }
 
     pub fn sizes(&self) -> (usize, usize) {
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -180,7 +180,9 @@
             company,
             layers: layers::Layers::new(settings.own_cache, settings.share),
             questions: Default::default(),
-            quota: ports.margin.map_or_else(Quota::default, Quota::without_waiting),
+            quota: ports
+                .margin
+                .map_or_else(Quota::default, Quota::without_waiting),
             beats: AtomicU64::new(0),
             dispatcher,
             ports,
@@ -202,7 +204,11 @@
     let door = door::serve(Arc::clone(&router)).await?;
     let mut running = Vec::new();
     for server in servers {
-        running.push(web::serve(server.address, 1 << 16, (server.handler)(Arc::clone(&router)))?);
+        running.push(web::serve(
+            server.address,
+            1 << 16,
+            (server.handler)(Arc::clone(&router)),
+        )?);
     }
     let desk = {
         let (router, address) = (Arc::clone(&router), router.boot.desk);
@@ -260,7 +266,10 @@
         ("GET", "/traffic") => web::json(200, &transport::traffic::value()),
         (_, path) => {
             let text = format!("there is no {path} for this method");
-            web::json(404, &simd_json::json!({ "code": "no-such-page", "text": text }))
+            web::json(
+                404,
+                &simd_json::json!({ "code": "no-such-page", "text": text }),
+            )
         }
     }
 }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -6,26 +6,71 @@
 use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
-    setting("name", "NAME", "this router's name, unique in the cluster", None),
+    setting(
+        "name",
+        "NAME",
+        "this router's name, unique in the cluster",
+        None,
+    ),
     setting("region", "NAME", "the region it stands in", None),
     setting("zone", "NAME", "the zone it stands in", None),
     setting("door", "IP:PORT", "where callers reach it", None),
-    setting("address", "IP:PORT", "where the routers of its region reach it", None),
-    setting("listen", "IP:PORT", "where it listens for them, if not there", Some("")),
+    setting(
+        "address",
+        "IP:PORT",
+        "where the routers of its region reach it",
+        None,
+    ),
+    setting(
+        "listen",
+        "IP:PORT",
+        "where it listens for them, if not there",
+        Some(""),
+    ),
     setting("desk", "IP:PORT", "where operators reach it", None),
     setting("seeds", "IP:PORT,...", "addresses of directory nodes", None),
-    setting("own-cache", "COUNT", "mappings in its own cache, at the most", Some("512")),
-    setting("share", "COUNT", "mappings in its share of the region's cache", Some("16384")),
-    setting("body", "BYTES", "the longest body that is taken", Some("16777216")),
-    setting("jobs", "COUNT", "jobs under way at a time, at the most", Some("4096")),
+    setting(
+        "own-cache",
+        "COUNT",
+        "mappings in its own cache, at the most",
+        Some("512"),
+    ),
+    setting(
+        "share",
+        "COUNT",
+        "mappings in its share of the region's cache",
+        Some("16384"),
+    ),
+    setting(
+        "body",
+        "BYTES",
+        "the longest body that is taken",
+        Some("16777216"),
+    ),
+    setting(
+        "jobs",
+        "COUNT",
+        "jobs under way at a time, at the most",
+        Some("4096"),
+    ),
     setting(
         "leave-ms",
         "MS",
         "how long it still takes jobs after it is told to stop",
         Some("1500"),
     ),
-    setting("stop-ms", "MS", "how long streams may finish in when it stops", Some("20000")),
-    setting("head-ms", "MS", "how long the part of a body with the key may take", Some("10000")),
+    setting(
+        "stop-ms",
+        "MS",
+        "how long streams may finish in when it stops",
+        Some("20000"),
+    ),
+    setting(
+        "head-ms",
+        "MS",
+        "how long the part of a body with the key may take",
+        Some("10000"),
+    ),
     setting(
         "quota-ms",
         "MS",
@@ -38,7 +83,12 @@
         "how long it goes on past its lease while it reaches no directory node",
         Some("0"),
     ),
-    setting("level", "LEVEL", "log level: error, warn, info, debug", Some("info")),
+    setting(
+        "level",
+        "LEVEL",
+        "log level: error, warn, info, debug",
+        Some("info"),
+    ),
 ];
 
 fn main() {
@@ -73,7 +123,10 @@
     };
     let level = boot.text("level");
     if settings.seeds.is_empty() {
-        boot.complain("seeds", "a router needs the address of a directory node at least");
+        boot.complain(
+            "seeds",
+            "a router needs the address of a directory node at least",
+        );
     }
     let (door, desk) = (settings.door, settings.desk);
     if door == settings.address || door == desk || settings.address == desk {
@@ -82,7 +135,9 @@
     boot.finish();
     let run = || -> anyhow::Result<()> {
         transport::logs::start("router", &settings.name, &level)?;
-        let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .enable_all()
+            .build()?;
         runtime.block_on(router::run(settings, Ports::default()))?;
         runtime.shutdown_timeout(Duration::from_millis(200));
         Ok(())
--- a/router/src/ports.rs
+++ b/router/src/ports.rs
@@ -36,7 +36,10 @@
 impl Default for Callers {
     fn default() -> Callers {
         let text = |headers: &HeaderMap, name: &str| -> Option<String> {
-            headers.get(name).and_then(|value| value.to_str().ok()).map(String::from)
+            headers
+                .get(name)
+                .and_then(|value| value.to_str().ok())
+                .map(String::from)
         };
         Callers {
             id: Box::new(move |headers| text(headers, JOB)),
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -4,13 +4,13 @@
 use crate::Router;
 use parking_lot::Mutex;
 use placement::{Following, Taken};
+use protocol::{Answer, Frame, Front, Kind};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
-use protocol::{Answer, Frame, Front, Kind};
 use transport::{link, now};
 
 /// Beats out of turn keep at least this distance.
@@ -37,7 +37,10 @@
 impl Questions {
     /// The directory node of the session.
     pub fn node(&self) -> Option<String> {
-        self.out.lock().as_ref().map(|(address, _)| address.to_string())
+        self.out
+            .lock()
+            .as_ref()
+            .map(|(address, _)| address.to_string())
     }
 
     /// Asks for a key's mapping, by the key alone.
@@ -53,7 +56,9 @@
         let out = self.out.lock().as_ref().map(|(_, out)| out.clone());
         let Some(out) = out else { return Answer::Later };
         let key = residency::key(tenant, service);
-        self.open.lock().insert(number, OpenQuestion { key, waiter });
+        self.open
+            .lock()
+            .insert(number, OpenQuestion { key, waiter });
         let frame = Frame::Resolve {
             number,
             tenant: tenant.into(),
@@ -66,7 +71,10 @@
         }
         let answer = tokio::time::timeout(patience, receiver).await;
         self.open.lock().remove(&number);
-        answer.ok().and_then(|answer| answer.ok()).unwrap_or(Answer::Later)
+        answer
+            .ok()
+            .and_then(|answer| answer.ok())
+            .unwrap_or(Answer::Later)
     }
 
     /// Hands an answer to whoever waits for it. One that is late or surplus is passed
@@ -75,7 +83,9 @@
     /// # Errors
     /// The answer is about another key than its question: the node can't be relied on.
     fn answered(&self, number: u64, answer: Answer) -> anyhow::Result<()> {
-        let Some(question) = self.open.lock().remove(&number) else { return Ok(()) };
+        let Some(question) = self.open.lock().remove(&number) else {
+            return Ok(());
+        };
         if let Answer::Mapping(mapping) = &answer {
             anyhow::ensure!(mapping.key() == question.key, "it answers for another key");
         }
@@ -100,7 +110,13 @@
             Some((far, rand::random(), member.address.parse().ok()?))
         })
         .collect();
-    ways.extend(router.boot.seeds.iter().map(|seed| (3, rand::random(), *seed)));
+    ways.extend(
+        router
+            .boot
+            .seeds
+            .iter()
+            .map(|seed| (3, rand::random(), *seed)),
+    );
     ways.sort();
     let mut ways: Vec<SocketAddr> = ways.into_iter().map(|(_, _, address)| address).collect();
     let mut seen = Vec::new();
@@ -217,7 +233,9 @@
 fn take(router: &Arc<Router>, following: &mut Following, frame: Frame) -> anyhow::Result<()> {
     match frame {
         Frame::Picture { epoch, events } => {
-            let taken = following.picture(epoch, &events).map_err(anyhow::Error::msg)?;
+            let taken = following
+                .picture(epoch, &events)
+                .map_err(anyhow::Error::msg)?;
             if taken == Taken::Picture {
                 router.layers.touch_all(epoch);
             }
@@ -225,8 +243,14 @@
             router.counters.one("pictures");
             log::info!(epoch = epoch; "a picture is in force");
         }
-        Frame::Change { prior, epoch, events } => {
-            following.change(prior, epoch, &events).map_err(anyhow::Error::msg)?;
+        Frame::Change {
+            prior,
+            epoch,
+            events,
+        } => {
+            following
+                .change(prior, epoch, &events)
+                .map_err(anyhow::Error::msg)?;
             // The caches first: whoever sees the new view finds nothing void.
             router.layers.touch(epoch, &events);
             router.view.send_replace(Arc::clone(following.view()));
--- a/router/src/tidings.rs
+++ b/router/src/tidings.rs
@@ -7,11 +7,11 @@
 
 use crate::{company, Router};
 use placement::News;
+use protocol::{Frame, Front, Kept, Load};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use protocol::{Frame, Front, Kept, Load};
 
 /// How long news wait for more of them, for each neighbour that is told.
 const BATCH_MS: u64 = 4;
@@ -26,7 +26,10 @@
         jobs: *jobs,
         tokens: *tokens,
     };
-    let kept = |(engine, chain): &(String, u64)| Kept { engine: engine.clone(), chain: *chain };
+    let kept = |(engine, chain): &(String, u64)| Kept {
+        engine: engine.clone(),
+        chain: *chain,
+    };
     Frame::Tidings {
         from: from.into(),
         is_relayed: is_relayed.into(),
@@ -40,7 +43,11 @@
     let is_near =
         |front: &&Front| front.region == router.boot.region && front.name != router.boot.name;
     let company = router.company.read();
-    company.fronts().filter(is_near).filter_map(|f| f.address.parse().ok()).collect()
+    company
+        .fronts()
+        .filter(is_near)
+        .filter_map(|f| f.address.parse().ok())
+        .collect()
 }
 
 /// One router of each other region, by rank for this one.
@@ -55,7 +62,10 @@
             *best = (rank, front);
         }
     }
-    regions.values().filter_map(|(_, front)| front.address.parse().ok()).collect()
+    regions
+        .values()
+        .filter_map(|(_, front)| front.address.parse().ok())
+        .collect()
 }
 
 fn tell(router: &Arc<Router>, to: &[SocketAddr], frame: &Frame) {
@@ -68,13 +78,22 @@
 /// region.
 pub fn take(router: &Arc<Router>, from: &str, is_relayed: bool, loads: Vec<Load>, kept: Vec<Kept>) {
     let news = News {
-        loads: loads.into_iter().map(|load| (load.engine, load.jobs, load.tokens)).collect(),
-        kept: kept.into_iter().map(|kept| (kept.engine, kept.chain)).collect(),
+        loads: loads
+            .into_iter()
+            .map(|load| (load.engine, load.jobs, load.tokens))
+            .collect(),
+        kept: kept
+            .into_iter()
+            .map(|kept| (kept.engine, kept.chain))
+            .collect(),
     };
     router.dispatcher.roster.told(from, &news);
     let is_far = {
         let company = router.company.read();
-        let region = company.fronts().find(|front| front.name == from).map(|f| &f.region);
+        let region = company
+            .fronts()
+            .find(|front| front.name == from)
+            .map(|f| &f.region);
         region.is_some_and(|region| *region != router.boot.region)
     };
     if is_far && !is_relayed {
@@ -94,7 +113,11 @@
         tokio::time::sleep(Duration::from_millis(batch)).await;
         let news = router.dispatcher.roster.take_news();
         if !news.is_empty() {
-            tell(&router, &neighbours, &frame(&router.boot.name, false, &news));
+            tell(
+                &router,
+                &neighbours,
+                &frame(&router.boot.name, false, &news),
+            );
         }
         for load in news.loads {
             match for_far.loads.iter_mut().find(|known| known.0 == load.0) {
@@ -104,7 +127,11 @@
         }
         for_far.kept.extend(news.kept);
         if !for_far.is_empty() && transport::now() >= told_far + FAR_BATCH_MS {
-            tell(&router, &far(&router), &frame(&router.boot.name, false, &for_far));
+            tell(
+                &router,
+                &far(&router),
+                &frame(&router.boot.name, false, &for_far),
+            );
             (for_far, told_far) = (News::default(), transport::now());
         }
     }
--- a/rushctl/src/main.rs
+++ b/rushctl/src/main.rs
@@ -25,18 +25,43 @@
     about: &'static str,
     options: &'static [&'static str],
 ) -> Command {
-    Command { name, words, about, options }
+    Command {
+        name,
+        words,
+        about,
+        options,
+    }
 }
 
 const CHANGE: &[&str] = &["id", "base", "wait"];
 
 const COMMANDS: &[Command] = &[
-    command("found", "", "found a cluster at a blank node; once, for good", &[]),
-    command("status", "", "who leads, who lags, what is not yet in force and where", &["json"]),
+    command(
+        "found",
+        "",
+        "found a cluster at a blank node; once, for good",
+        &[],
+    ),
+    command(
+        "status",
+        "",
+        "who leads, who lags, what is not yet in force and where",
+        &["json"],
+    ),
     command("members", "", "the directory nodes", &["json"]),
-    command("retire", "IDENTITY", "take a directory node out for good", &[]),
+    command(
+        "retire",
+        "IDENTITY",
+        "take a directory node out for good",
+        &[],
+    ),
     command("book", "", "print the home book in force", &[]),
-    command("check", "FILE", "check a whole home book here, sending nothing", &["rules"]),
+    command(
+        "check",
+        "FILE",
+        "check a whole home book here, sending nothing",
+        &["rules"],
+    ),
     command(
         "revise",
         "FILE",
@@ -44,9 +69,24 @@
          that changes (null takes a name away)",
         &["partial", "rules", "id", "base", "wait"],
     ),
-    command("submit", "", "submit any change, read as JSON from standard input", CHANGE),
-    command("key-add", "TENANT", "give a tenant a key, read from standard input", CHANGE),
-    command("key-drop", "", "take a key away, read from standard input", CHANGE),
+    command(
+        "submit",
+        "",
+        "submit any change, read as JSON from standard input",
+        CHANGE,
+    ),
+    command(
+        "key-add",
+        "TENANT",
+        "give a tenant a key, read from standard input",
+        CHANGE,
+    ),
+    command(
+        "key-drop",
+        "",
+        "take a key away, read from standard input",
+        CHANGE,
+    ),
     command(
         "engine-list",
         "NAME ADDRESS CELL SERVICE,... SLOTS [coming|serving]",
@@ -54,9 +94,19 @@
         CHANGE,
     ),
     command("engine-serve", "NAME", "let an engine get work", CHANGE),
-    command("engine-drain", "NAME", "give an engine no more work; it finishes what it has", CHANGE),
+    command(
+        "engine-drain",
+        "NAME",
+        "give an engine no more work; it finishes what it has",
+        CHANGE,
+    ),
     command("engine-gone", "NAME", "take an engine off the list", CHANGE),
-    command("evacuate", "ZONE", "give a zone's engines no more work", CHANGE),
+    command(
+        "evacuate",
+        "ZONE",
+        "give a zone's engines no more work",
+        CHANGE,
+    ),
     command("give-back", "ZONE", "end a zone's evacuation", CHANGE),
     command(
         "windows",
@@ -65,18 +115,43 @@
          `drain ENGINE`, and put them in force in place of those that have not begun",
         &["days", "ahead", "check", "id", "base"],
     ),
-    command("move", "TENANT SERVICE CELL", "begin to move a key's jobs to another cell", CHANGE),
-    command("settle", "TENANT SERVICE", "end a move: the key may be cached again", CHANGE),
+    command(
+        "move",
+        "TENANT SERVICE CELL",
+        "begin to move a key's jobs to another cell",
+        CHANGE,
+    ),
+    command(
+        "settle",
+        "TENANT SERVICE",
+        "end a move: the key may be cached again",
+        CHANGE,
+    ),
     command("unpin", "TENANT SERVICE", "undo a move", CHANGE),
-    command("explain", "TENANT SERVICE [REGION]", "which engine a key gets just now, and why", &[]),
+    command(
+        "explain",
+        "TENANT SERVICE [REGION]",
+        "which engine a key gets just now, and why",
+        &[],
+    ),
 ];
 
 fn options() -> Options {
     let mut options = Options::new();
     options.optflag("h", "help", "say this, or what a command does, and end");
     options.optflag("V", "version", "say the version and end");
-    options.optopt("", "desk", "desks of directory nodes, tried in turn", "IP:PORT,...");
-    options.optopt("", "id", "proposal id; a repeat with the same id is applied once", "ID");
+    options.optopt(
+        "",
+        "desk",
+        "desks of directory nodes, tried in turn",
+        "IP:PORT,...",
+    );
+    options.optopt(
+        "",
+        "id",
+        "proposal id; a repeat with the same id is applied once",
+        "ID",
+    );
     options.optopt("", "base", "the epoch that the change is based on", "EPOCH");
     options.optopt(
         "",
@@ -84,9 +159,19 @@
         "wait until it is in force everywhere, this long at most",
         "SECONDS",
     );
-    options.optopt("", "rules", "a file of rules, in place of the book's own", "FILE");
+    options.optopt(
+        "",
+        "rules",
+        "a file of rules, in place of the book's own",
+        "FILE",
+    );
     options.optflag("", "partial", "the file holds only what changes");
-    options.optopt("", "days", "how far ahead windows are taken in (default 30)", "COUNT");
+    options.optopt(
+        "",
+        "days",
+        "how far ahead windows are taken in (default 30)",
+        "COUNT",
+    );
     options.optopt(
         "",
         "ahead",
@@ -161,8 +246,10 @@
     if let Some(rules) = rules {
         let text = std::fs::read_to_string(&rules).with_context(|| rules.clone())?;
         if let Err(complaints) = policy::compile(&text) {
-            let lines: Vec<String> =
-                complaints.iter().map(|complaint| format!("{rules}: {complaint}")).collect();
+            let lines: Vec<String> = complaints
+                .iter()
+                .map(|complaint| format!("{rules}: {complaint}"))
+                .collect();
             bail!("{}", lines.join("\n"));
         }
         if book.as_object().is_none() {
@@ -174,7 +261,9 @@
 }
 
 fn input() -> anyhow::Result<String> {
-    Ok(std::io::read_to_string(std::io::stdin())?.trim().to_string())
+    Ok(std::io::read_to_string(std::io::stdin())?
+        .trim()
+        .to_string())
 }
 
 /// The body of a proposal, without id and base. `None`: no such change.
@@ -200,8 +289,14 @@
         }
         "engine-list" => {
             let services: Vec<String> = word(3).split(',').map(String::from).collect();
-            let Ok(slots) = word(4).parse::<u32>() else { wrong("SLOTS is a number") };
-            let state = if words.len() > 5 { word(5) } else { "serving".into() };
+            let Ok(slots) = word(4).parse::<u32>() else {
+                wrong("SLOTS is a number")
+            };
+            let state = if words.len() > 5 {
+                word(5)
+            } else {
+                "serving".into()
+            };
             json!({
                 "do": "engine", "name": word(0), "address": word(1), "cell": word(2),
                 "services": services, "slots": slots, "state": state,
@@ -220,26 +315,38 @@
 }
 
 async fn submit(way: &Way, mut body: OwnedValue, matches: &Matches) -> anyhow::Result<()> {
-    let id = matches.opt_str("id").unwrap_or(format!("{:016x}", rand::random::<u64>()));
-    let base = matches.opt_str("base").map(|text| match text.parse::<u64>() {
-        Ok(base) => base,
-        Err(_) => wrong("--base is an epoch"),
-    });
+    let id = matches
+        .opt_str("id")
+        .unwrap_or(format!("{:016x}", rand::random::<u64>()));
+    let base = matches
+        .opt_str("base")
+        .map(|text| match text.parse::<u64>() {
+            Ok(base) => base,
+            Err(_) => wrong("--base is an epoch"),
+        });
     body.insert("id", id.clone())?;
     if let Some(base) = base {
         body.insert("base", base)?;
     }
-    let wait = matches.opt_str("wait").map(|text| match text.parse::<u64>() {
-        Ok(seconds) => Duration::from_secs(seconds),
-        Err(_) => wrong("--wait is a number of seconds"),
-    });
+    let wait = matches
+        .opt_str("wait")
+        .map(|text| match text.parse::<u64>() {
+            Ok(seconds) => Duration::from_secs(seconds),
+            Err(_) => wrong("--wait is a number of seconds"),
+        });
     let answer = way
         .ask("POST", "/submit", &body.encode())
         .await
         .with_context(|| format!("proposal {id}"))?;
     let epoch = answer.get("epoch").and_then(|v| v.as_u64()).unwrap_or(0);
-    let is_repeat = answer.get("repeated").and_then(|v| v.as_bool()).unwrap_or(false);
-    println!("acknowledged: epoch {epoch}{}", if is_repeat { ", a repeat" } else { "" });
+    let is_repeat = answer
+        .get("repeated")
+        .and_then(|v| v.as_bool())
+        .unwrap_or(false);
+    println!(
+        "acknowledged: epoch {epoch}{}",
+        if is_repeat { ", a repeat" } else { "" }
+    );
     match wait {
         Some(wait) => status::wait_in_force(way, epoch, wait).await,
         None => Ok(()),
@@ -250,10 +357,13 @@
     if name == "windows" {
         let count = |name: &str, default: u64| match matches.opt_str(name) {
             None => default,
-            Some(text) => text.parse().unwrap_or_else(|_| wrong(format!("--{name} is a number"))),
+            Some(text) => text
+                .parse()
+                .unwrap_or_else(|_| wrong(format!("--{name} is a number"))),
         };
         let list = windows::read(&words[0], count("days", 30), count("ahead", 300))?;
-        list.iter().for_each(|window| println!("{}", windows::describe(window)));
+        list.iter()
+            .for_each(|window| println!("{}", windows::describe(window)));
         if matches.opt_present("check") {
             return Ok(());
         }
@@ -277,7 +387,8 @@
             }
         }
         "retire" => {
-            way.ask("POST", &format!("/retire?identity={}", words[0]), "").await?;
+            way.ask("POST", &format!("/retire?identity={}", words[0]), "")
+                .await?;
             println!("retired: {}", words[0]);
         }
         "book" => println!("{}", way.get("/book").await?.encode_pp()),
@@ -289,7 +400,9 @@
             println!("{}: nothing is wrong with it", words[0]);
         }
         "explain" => {
-            let region = words.get(2).map_or(String::new(), |region| format!("&region={region}"));
+            let region = words
+                .get(2)
+                .map_or(String::new(), |region| format!("&region={region}"));
             let target = format!("/explain?tenant={}&service={}{region}", words[0], words[1]);
             println!("{}", way.get(&target).await?.encode_pp());
         }
@@ -310,7 +423,10 @@
     if matches.opt_present("help") {
         match matches.free.first().and_then(known) {
             Some(command) => {
-                println!("operator {} {}\n\n{}", command.name, command.words, command.about);
+                println!(
+                    "operator {} {}\n\n{}",
+                    command.name, command.words, command.about
+                );
                 for option in command.options {
                     println!("  --{option}");
                 }
@@ -319,20 +435,36 @@
         }
         return;
     }
-    let Some(name) = matches.free.first() else { wrong("a command is missing") };
-    let Some(command) = known(name) else { wrong(format!("{name}: no such command is known")) };
+    let Some(name) = matches.free.first() else {
+        wrong("a command is missing")
+    };
+    let Some(command) = known(name) else {
+        wrong(format!("{name}: no such command is known"))
+    };
     let words = &matches.free[1..];
-    let least = command.words.split_whitespace().filter(|word| !word.starts_with('[')).count();
+    let least = command
+        .words
+        .split_whitespace()
+        .filter(|word| !word.starts_with('['))
+        .count();
     let most = command.words.split_whitespace().count();
     if words.len() < least || words.len() > most {
-        wrong(format!("usage: operator {} {}", command.name, command.words));
+        wrong(format!(
+            "usage: operator {} {}",
+            command.name, command.words
+        ));
     }
-    for option in ["id", "base", "wait", "rules", "partial", "json", "days", "ahead", "check"] {
+    for option in [
+        "id", "base", "wait", "rules", "partial", "json", "days", "ahead", "check",
+    ] {
         if matches.opt_present(option) && !command.options.contains(&option) {
             wrong(format!("{name} knows no --{option}"));
         }
     }
-    let desks = matches.opt_str("desk").or(std::env::var("RUSHPORT_DESK").ok()).unwrap_or_default();
+    let desks = matches
+        .opt_str("desk")
+        .or(std::env::var("RUSHPORT_DESK").ok())
+        .unwrap_or_default();
     let desks: Vec<SocketAddr> = desks
         .split(',')
         .filter(|text| !text.is_empty())
@@ -341,7 +473,10 @@
             Err(_) => wrong(format!("{text}: no IP number and port")),
         })
         .collect();
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("operator: {error}");
--- a/rushctl/src/status.rs
+++ b/rushctl/src/status.rs
@@ -15,7 +15,10 @@
 }
 
 fn list<'v>(value: &'v OwnedValue, name: &str) -> &'v [OwnedValue] {
-    value.get(name).and_then(|found| found.as_array()).map_or(&[], |list| list.as_slice())
+    value
+        .get(name)
+        .and_then(|found| found.as_array())
+        .map_or(&[], |list| list.as_slice())
 }
 
 pub fn print_members(value: &OwnedValue) {
@@ -24,7 +27,11 @@
         "directory", "identity", "kind", "zone", "address", "silent_ms"
     );
     for member in list(value, "members") {
-        let mark = if text(member, "leads") == "true" { " leads" } else { "" };
+        let mark = if text(member, "leads") == "true" {
+            " leads"
+        } else {
+            ""
+        };
         println!(
             "{:<16} {:<16} {:<8} {:<14} {:<22} {:<10} {}{mark}",
             text(member, "name"),
@@ -39,7 +46,11 @@
     let repair = text(value, "membership_repair");
     if !matches!(repair.as_str(), "" | "-") {
         let is_changing = text(value, "membership_changing") == "true";
-        let state = if is_changing { "a change is under way" } else { "settled" };
+        let state = if is_changing {
+            "a change is under way"
+        } else {
+            "settled"
+        };
         println!("membership: {state}; repair: {repair}");
     }
 }
@@ -56,10 +67,17 @@
         } else {
             "CUT OFF from a majority"
         },
-        if text(value, "disk_stalled") == "true" { ", DISK STALLED" } else { "" },
+        if text(value, "disk_stalled") == "true" {
+            ", DISK STALLED"
+        } else {
+            ""
+        },
     );
     print_members(value);
-    println!("{:<16} {:<14} {:<22} {:<8} heard", "router", "zone", "door", "epoch");
+    println!(
+        "{:<16} {:<14} {:<22} {:<8} heard",
+        "router", "zone", "door", "epoch"
+    );
     for router in list(value, "routers") {
         let at = router.get("epoch").and_then(|v| v.as_u64()).unwrap_or(0);
         println!(
@@ -70,7 +88,11 @@
             at,
             text(router, "age_ms"),
             if at < epoch { " LAGS" } else { "" },
-            if text(router, "leaving") == "true" { " leaving" } else { "" },
+            if text(router, "leaving") == "true" {
+                " leaving"
+            } else {
+                ""
+            },
         );
     }
     println!("{:<16} {:<14} {:<22} state", "engine", "cell", "address");
@@ -89,12 +111,24 @@
         println!("evacuated: {}", zone.as_str().unwrap_or(""));
     }
     for window in list(value, "windows") {
-        let state = if text(window, "begun") == "true" { "under way" } else { "to come" };
+        let state = if text(window, "begun") == "true" {
+            "under way"
+        } else {
+            "to come"
+        };
         println!("window {state}: {}", crate::windows::describe(window));
     }
     for change in list(value, "moves") {
-        let state = if text(change, "settled") == "true" { "moved" } else { "moving" };
-        println!("{state}: {} to {}", text(change, "key"), text(change, "cell"));
+        let state = if text(change, "settled") == "true" {
+            "moved"
+        } else {
+            "moving"
+        };
+        println!(
+            "{state}: {} to {}",
+            text(change, "key"),
+            text(change, "cell")
+        );
     }
 }
 
@@ -112,11 +146,17 @@
             Err(error) => vec![format!("no desk answers: {error:#}")],
         };
         if behind.is_empty() {
-            println!("in force everywhere after {} ms", begun.elapsed().as_millis());
+            println!(
+                "in force everywhere after {} ms",
+                begun.elapsed().as_millis()
+            );
             return Ok(());
         }
         if begun.elapsed() >= wait {
-            anyhow::bail!("epoch {epoch} counts, but is not in force at: {}", behind.join(", "));
+            anyhow::bail!(
+                "epoch {epoch} counts, but is not in force at: {}",
+                behind.join(", ")
+            );
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/rushctl/src/windows.rs
+++ b/rushctl/src/windows.rs
@@ -12,9 +12,9 @@
 
 fn time(found: Option<DatePerhapsTime>, name: &str) -> anyhow::Result<DateTime<Utc>> {
     match found {
-        Some(DatePerhapsTime::DateTime(time)) => time
-            .try_into_utc()
-            .ok_or(anyhow!("{name} is in no known time zone, or does not exist there")),
+        Some(DatePerhapsTime::DateTime(time)) => time.try_into_utc().ok_or(anyhow!(
+            "{name} is in no known time zone, or does not exist there"
+        )),
         Some(DatePerhapsTime::Date(_)) => bail!("{name} is a day; a window has times"),
         None => bail!("{name} is missing"),
     }
@@ -24,7 +24,9 @@
 /// emptied `ahead` seconds before its start.
 pub fn read(path: &str, days: u64, ahead: u64) -> anyhow::Result<Vec<OwnedValue>> {
     let text = std::fs::read_to_string(path).with_context(|| path.to_string())?;
-    let calendar: Calendar = text.parse().map_err(|text: String| anyhow!("{path}: {text}"))?;
+    let calendar: Calendar = text
+        .parse()
+        .map_err(|text: String| anyhow!("{path}: {text}"))?;
     let now = Utc::now();
     let limit = now + Duration::days(days.min(3_650) as i64);
     let mut windows = Vec::new();
@@ -45,14 +47,18 @@
             let start = time(event.get_start(), "DTSTART")?;
             let length = time(event.get_end(), "DTEND")? - start;
             anyhow::ensure!(length > Duration::zero(), "it ends before it begins");
-            let repeats = event.get_recurrence().map_err(|error| anyhow!("RRULE: {error}"))?;
+            let repeats = event
+                .get_recurrence()
+                .map_err(|error| anyhow!("RRULE: {error}"))?;
             let zone = icalendar::rrule::Tz::UTC;
             let repeats = repeats
                 .after((now - length).with_timezone(&zone))
                 .before(limit.with_timezone(&zone));
             for start in repeats.all(MOST).dates {
-                let (from, until) =
-                    (start.timestamp() - ahead as i64, (start + length).timestamp());
+                let (from, until) = (
+                    start.timestamp() - ahead as i64,
+                    (start + length).timestamp(),
+                );
                 if until <= now.timestamp() {
                     continue;
                 }
@@ -83,7 +89,10 @@
         DateTime::<Utc>::from_timestamp(seconds as i64, 0).map_or(String::new(), |t| t.to_rfc3339())
     };
     let (zone, engine) = (window.get("zone"), window.get("engine"));
-    let what = match (zone.and_then(|v| v.as_str()), engine.and_then(|v| v.as_str())) {
+    let what = match (
+        zone.and_then(|v| v.as_str()),
+        engine.and_then(|v| v.as_str()),
+    ) {
         (Some(zone), _) => format!("evacuate {zone}"),
         (_, engine) => format!("drain {}", engine.unwrap_or("")),
     };
--- a/testbed/src/bin/day.rs
+++ b/testbed/src/bin/day.rs
@@ -3,15 +3,33 @@
 use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
-    setting("shape", "FILE", "the deployment's shape, with its mix and events", None),
+    setting(
+        "shape",
+        "FILE",
+        "the deployment's shape, with its mix and events",
+        None,
+    ),
     setting("seconds", "COUNT", "how long the day is", Some("60")),
-    setting("scale", "PERCENT", "the rates, in hundredths of the shape's own", Some("100")),
-    setting("seed", "COUNT", "the same seed makes the same day", Some("1")),
+    setting(
+        "scale",
+        "PERCENT",
+        "the rates, in hundredths of the shape's own",
+        Some("100"),
+    ),
+    setting(
+        "seed",
+        "COUNT",
+        "the same seed makes the same day",
+        Some("1"),
+    ),
 ];
 
 fn main() {
-    let mut boot =
-        Boot::read("day", "Makes a sample day, as JSON lines on standard output.", SETTINGS);
+    let mut boot = Boot::read(
+        "day",
+        "Makes a sample day, as JSON lines on standard output.",
+        SETTINGS,
+    );
     let shape = boot.text("shape");
     let seconds = boot.count("seconds", 1, 86_400);
     let scale = boot.count("scale", 1, 10_000) as f64 / 100.0;
--- a/testbed/src/bin/engine.rs
+++ b/testbed/src/bin/engine.rs
@@ -10,11 +10,20 @@
     setting("piece-ms", "MS", "time between two pieces", Some("15")),
     setting("prefill-ms", "MS", "what a cold prefix costs", Some("80")),
     setting("cold", "0|1", "whether it starts cold", Some("0")),
-    setting("journal", "FILE", "where it writes down what it gets and runs", None),
+    setting(
+        "journal",
+        "FILE",
+        "where it writes down what it gets and runs",
+        None,
+    ),
 ];
 
 fn main() {
-    let mut boot = Boot::read("engine", "A stand-in engine, for tests and trials.", SETTINGS);
+    let mut boot = Boot::read(
+        "engine",
+        "A stand-in engine, for tests and trials.",
+        SETTINGS,
+    );
     let settings = testbed::engine::Settings {
         name: boot.name("name"),
         address: boot.address("address"),
@@ -27,8 +36,10 @@
     };
     boot.finish();
     let run = || -> anyhow::Result<()> {
-        let runtime =
-            tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()?;
         runtime.block_on(async {
             let server = testbed::engine::serve(settings)?;
             server.await.map_err(|text| anyhow::anyhow!(text))
--- a/testbed/src/bin/fleet.rs
+++ b/testbed/src/bin/fleet.rs
@@ -1,9 +1,9 @@
 //! Starts a whole deployment on this machine and keeps it until it is told to
 //! stop.
 
-use testbed::fleet::{Fleet, Shape};
 use std::convert::Infallible;
 use std::path::{Path, PathBuf};
+use testbed::fleet::{Fleet, Shape};
 use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
@@ -17,7 +17,9 @@
     boot.finish();
     let run = || -> anyhow::Result<()> {
         let shape = Shape::read(shape.as_ref())?;
-        let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .enable_all()
+            .build()?;
         runtime.block_on(async {
             let mut fleet = Fleet::lay(shape, &folder)?;
             tokio::select! {
--- a/testbed/src/bin/replay.rs
+++ b/testbed/src/bin/replay.rs
@@ -1,14 +1,19 @@
 //! Plays a recorded day against a fleet, and reports counts by outcome.
 
-use testbed::fleet::{Fleet, Shape};
-use testbed::{day, replay};
 use std::net::SocketAddr;
 use std::path::PathBuf;
+use testbed::fleet::{Fleet, Shape};
+use testbed::{day, replay};
 use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("day", "FILE", "the recorded day", None),
-    setting("shape", "FILE", "the deployment's shape: its keys, and the fleet to start", None),
+    setting(
+        "shape",
+        "FILE",
+        "the deployment's shape: its keys, and the fleet to start",
+        None,
+    ),
     setting("folder", "FOLDER", "where data, logs and journals go", None),
     setting(
         "doors",
@@ -16,7 +21,12 @@
         "doors of a fleet that runs already; none is started",
         Some(""),
     ),
-    setting("desks", "IP:PORT,...", "desks of the fleet that runs already", Some("")),
+    setting(
+        "desks",
+        "IP:PORT,...",
+        "desks of the fleet that runs already",
+        Some(""),
+    ),
 ];
 
 fn main() {
@@ -35,7 +45,9 @@
     }
     let day = match std::fs::read_to_string(&path) {
         Ok(text) => day::parse(&text).unwrap_or_else(|complaints| {
-            complaints.iter().for_each(|complaint| boot.complain(&path, complaint));
+            complaints
+                .iter()
+                .for_each(|complaint| boot.complain(&path, complaint));
             Vec::new()
         }),
         Err(error) => {
@@ -62,12 +74,21 @@
     desks: Vec<SocketAddr>,
 ) -> anyhow::Result<bool> {
     let shape = Shape::read(shape.as_ref())?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         if !doors.is_empty() {
-            let doors = doors.into_iter().map(|door| (door, String::new())).collect();
-            let ends =
-                replay::Ends { doors, desks, router_desks: Vec::new(), keys: shape.keys.clone() };
+            let doors = doors
+                .into_iter()
+                .map(|door| (door, String::new()))
+                .collect();
+            let ends = replay::Ends {
+                doors,
+                desks,
+                router_desks: Vec::new(),
+                keys: shape.keys.clone(),
+            };
             replay::play(ends, None, day, &folder).await?;
             let lines = testbed::journal::read(&folder.join("callers.jsonl"))?;
             println!("jobs: {}; see callers.jsonl", lines.len());
@@ -80,7 +101,10 @@
         let (journals, findings) = replay::judge(&fleet, &folder)?;
         print!("{}", replay::summary(&fleet, &journals).await?);
         println!("rules broken: {}", findings.len());
-        findings.iter().take(50).for_each(|finding| println!("  {finding}"));
+        findings
+            .iter()
+            .take(50)
+            .for_each(|finding| println!("  {finding}"));
         Ok(findings.is_empty())
     })
 }
--- a/testbed/src/bin/scenarios.rs
+++ b/testbed/src/bin/scenarios.rs
@@ -4,19 +4,29 @@
 
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
+use std::path::{Path, PathBuf};
 use testbed::checker::text;
 use testbed::fleet::{Fleet, Shape};
 use testbed::{checker, day, faults, replay};
-use std::path::{Path, PathBuf};
 use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
-    setting("scenarios", "FILE", "the scenarios; without, days are drawn from seeds", Some("")),
+    setting(
+        "scenarios",
+        "FILE",
+        "the scenarios; without, days are drawn from seeds",
+        Some(""),
+    ),
     setting("shape", "FILE,...", "the deployments' shapes", None),
     setting("folder", "FOLDER", "where data, logs and journals go", None),
     setting("only", "NAME,...", "run only these scenarios", Some("")),
     setting("seconds", "COUNT", "how long each is", Some("40")),
-    setting("scale", "PERCENT", "the rates, in hundredths of the shape's own", Some("100")),
+    setting(
+        "scale",
+        "PERCENT",
+        "the rates, in hundredths of the shape's own",
+        Some("100"),
+    ),
     setting("seed", "COUNT", "the seed of the days", Some("1")),
     setting(
         "seeds",
@@ -24,8 +34,18 @@
         "draw a day from each of these seeds, both ends among them",
         Some(""),
     ),
-    setting("kinds", "KIND,...", "draw days of just these faults", Some("")),
-    setting("print", "WORD", "yes: print the drawn days and run none", Some("no")),
+    setting(
+        "kinds",
+        "KIND,...",
+        "draw days of just these faults",
+        Some(""),
+    ),
+    setting(
+        "print",
+        "WORD",
+        "yes: print the drawn days and run none",
+        Some("no"),
+    ),
 ];
 
 /// A day to be run: its name, its shape's text, its scenario, its seed.
@@ -37,7 +57,11 @@
 }
 
 fn main() {
-    let mut boot = Boot::read("scenarios", "Brings failures about and judges the rules.", SETTINGS);
+    let mut boot = Boot::read(
+        "scenarios",
+        "Brings failures about and judges the rules.",
+        SETTINGS,
+    );
     let (scenarios, shapes) = (boot.text("scenarios"), boot.text("shape"));
     let folder = PathBuf::from(boot.text("folder"));
     let only = boot.text("only");
@@ -78,7 +102,8 @@
     }
     boot.finish();
     if is_printed {
-        days.iter().for_each(|day| println!("{}", day.scenario.encode()));
+        days.iter()
+            .for_each(|day| println!("{}", day.scenario.encode()));
         return;
     }
     let run = || -> anyhow::Result<usize> {
@@ -88,7 +113,9 @@
             let moments = day::make(&day.shape, Some(&day.scenario), seconds, scale, day.seed)?;
             let shape = Shape::parse(&day.shape)?;
             // With its runtime a scenario's relays end, too.
-            let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
+            let runtime = tokio::runtime::Builder::new_multi_thread()
+                .enable_all()
+                .build()?;
             let name = format!("{}/{}", shape.name, day.name);
             let folder = folder.join(&shape.name).join(&day.name);
             if let Some(kinds) = day.scenario.get("kinds") {
@@ -113,7 +140,9 @@
     if text.is_empty() {
         return Ok(Vec::new());
     }
-    let ends = text.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
+    let ends = text
+        .split_once('-')
+        .and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
     match ends {
         Some((from, to)) if from <= to && to - from < 100_000 => Ok((from..=to).collect()),
         Some((from, to)) if from <= to => Err(format!("{from}-{to} are over 100000 seeds")),
@@ -139,17 +168,30 @@
         for seed in seeds {
             let scenario = faults::draw(&shape, *seed, kinds)?;
             let name = text(&scenario, "name").to_string();
-            days.push(Day { name, shape: shape.clone(), scenario, seed: *seed });
+            days.push(Day {
+                name,
+                shape: shape.clone(),
+                scenario,
+                seed: *seed,
+            });
         }
     } else {
         let list = day::scenarios(&std::fs::read_to_string(scenarios)?, &shape)?;
         let wanted: Vec<&str> = only.split(',').filter(|name| !name.is_empty()).collect();
-        if let Some(name) = wanted.iter().find(|name| !list.iter().any(|known| known.0 == **name)) {
+        if let Some(name) = wanted
+            .iter()
+            .find(|name| !list.iter().any(|known| known.0 == **name))
+        {
             anyhow::bail!("{scenarios}: there is no scenario {name}");
         }
         let is_wanted = |name: &str| wanted.is_empty() || wanted.contains(&name);
         for (name, scenario) in list.into_iter().filter(|(name, _)| is_wanted(name)) {
-            days.push(Day { name, shape: shape.clone(), scenario, seed: seeds[0] });
+            days.push(Day {
+                name,
+                shape: shape.clone(),
+                scenario,
+                seed: seeds[0],
+            });
         }
     }
     for day in &days {
@@ -188,7 +230,11 @@
 
 fn row(name: &str, journals: &checker::Journals, findings: &[checker::Finding]) {
     let seen = |what: &[&str]| {
-        journals.callers.iter().filter(|line| what.contains(&text(line, "seen"))).count()
+        journals
+            .callers
+            .iter()
+            .filter(|line| what.contains(&text(line, "seen")))
+            .count()
     };
     let refused = |outcome: &str| {
         let is_one = |line: &&OwnedValue| {
@@ -203,9 +249,17 @@
         .filter_map(|line| line.get("done").and_then(|v| v.as_u64()))
         .collect();
     done.sort_unstable();
-    let gap = done.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(0) / 1000;
-    let acknowledged =
-        journals.operators.iter().filter(|line| line.get("acknowledged").is_some()).count();
+    let gap = done
+        .windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .max()
+        .unwrap_or(0)
+        / 1000;
+    let acknowledged = journals
+        .operators
+        .iter()
+        .filter(|line| line.get("acknowledged").is_some())
+        .count();
     println!(
         "| {name} | {} | {} | {} | {} | {} | {gap} ms | {acknowledged} of {} | {} |",
         journals.callers.len(),
--- a/testbed/src/caller.rs
+++ b/testbed/src/caller.rs
@@ -11,9 +11,18 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Seen {
     /// An engine's whole answer to this very job.
-    Whole { engine: String, run: u64, is_warm: bool },
+    Whole {
+        engine: String,
+        run: u64,
+        is_warm: bool,
+    },
     /// A refusal, with its outcome as stated, its code, and when to come back.
-    Refused { status: u16, outcome: String, code: String, retry_after: Option<u64> },
+    Refused {
+        status: u16,
+        outcome: String,
+        code: String,
+        retry_after: Option<u64>,
+    },
     /// The answer broke, visibly.
     Broken,
     /// No connection came about; nothing was sent.
@@ -58,14 +67,27 @@
     for (name, value) in &call.headers {
         request = request.header(name, value);
     }
-    let answer = sender.send_request(request.body(Full::new(call.body.clone().into()))?).await?;
+    let answer = sender
+        .send_request(request.body(Full::new(call.body.clone().into()))?)
+        .await?;
     let status = answer.status().as_u16();
     let header = |name: &str| {
-        answer.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_string()
+        answer
+            .headers()
+            .get(name)
+            .and_then(|value| value.to_str().ok())
+            .unwrap_or("")
+            .to_string()
     };
-    let (outcome, is_warm) = (header(transport::web::OUTCOME), header("x-prefix") == "warm");
+    let (outcome, is_warm) = (
+        header(transport::web::OUTCOME),
+        header("x-prefix") == "warm",
+    );
     let retry_after = header("retry-after").parse().ok();
-    let has_leaked = answer.headers().keys().any(|name| name.as_str().contains("mapping"));
+    let has_leaked = answer
+        .headers()
+        .keys()
+        .any(|name| name.as_str().contains("mapping"));
     let mut body = answer.into_body();
     let mut text = Vec::new();
     while let Some(frame) = body.frame().await {
@@ -76,8 +98,17 @@
     }
     if status != 200 {
         let value = simd_json::to_owned_value(&mut text).unwrap_or_default();
-        let code = value.get("code").and_then(|v| v.as_str()).unwrap_or("").to_string();
-        return Ok(Seen::Refused { status, outcome, code, retry_after });
+        let code = value
+            .get("code")
+            .and_then(|v| v.as_str())
+            .unwrap_or("")
+            .to_string();
+        return Ok(Seen::Refused {
+            status,
+            outcome,
+            code,
+            retry_after,
+        });
     }
     if has_leaked {
         return Ok(Seen::Wrong("the mapping was not stripped".into()));
@@ -90,17 +121,29 @@
     let sum = policy::fingerprint(&String::from_utf8_lossy(&call.body));
     let mut first: Option<(String, u64, u64)> = None;
     let mut count = 0;
-    for line in text.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
+    for line in text
+        .split(|byte| *byte == b'\n')
+        .filter(|line| !line.is_empty())
+    {
         let Ok(value) = simd_json::to_owned_value(&mut line.to_vec()) else {
             return Seen::Wrong("a piece can't be read".into());
         };
-        let word = |name: &str| value.get(name).and_then(|v| v.as_str()).unwrap_or("").to_string();
+        let word = |name: &str| {
+            value
+                .get(name)
+                .and_then(|v| v.as_str())
+                .unwrap_or("")
+                .to_string()
+        };
         let number = |name: &str| value.get(name).and_then(|v| v.as_u64()).unwrap_or(u64::MAX);
         if word("job") != call.id || word("sum") != sum {
             return Seen::Wrong("a piece is of another job".into());
         }
         if number("piece") != count {
-            return Seen::Wrong(format!("piece {} stands where {count} should", number("piece")));
+            return Seen::Wrong(format!(
+                "piece {} stands where {count} should",
+                number("piece")
+            ));
         }
         let this = (word("engine"), number("run"), number("of"));
         if first.get_or_insert(this.clone()) != &this {
@@ -109,7 +152,11 @@
         count += 1;
     }
     match first {
-        Some((engine, run, of)) if of == count => Seen::Whole { engine, run, is_warm },
+        Some((engine, run, of)) if of == count => Seen::Whole {
+            engine,
+            run,
+            is_warm,
+        },
         _ => Seen::Wrong("it looks finished and is not".into()),
     }
 }
--- a/testbed/src/checker/engines.rs
+++ b/testbed/src/checker/engines.rs
@@ -17,14 +17,28 @@
 /// No job is sent to an engine that is drained, or whose zone is evacuated.
 pub fn check_closed(evidence: &Evidence, findings: &mut Findings) {
     let lines = &evidence.journals.engines;
-    for line in lines.iter().filter(|line| text(line, "event") == "received") {
+    for line in lines
+        .iter()
+        .filter(|line| text(line, "event") == "received")
+    {
         let (engine, id, arrived) = (text(line, "engine"), text(line, "job"), number(line, "at"));
         let before = evidence.dispatched.get(&(id, engine)).into_iter().flatten();
-        let at = before.filter(|at| **at <= arrived).max().copied().unwrap_or(arrived);
+        let at = before
+            .filter(|at| **at <= arrived)
+            .max()
+            .copied()
+            .unwrap_or(arrived);
         if is_closed(&evidence.drained_engines, engine, at, DRAIN) {
-            findings.add(Rule::Leaving, format!("{engine} got job {id} while leaving"));
+            findings.add(
+                Rule::Leaving,
+                format!("{engine} got job {id} while leaving"),
+            );
         }
-        let zone = evidence.ground.engine_zones.get(engine).map_or("", |zone| zone.as_str());
+        let zone = evidence
+            .ground
+            .engine_zones
+            .get(engine)
+            .map_or("", |zone| zone.as_str());
         if is_closed(&evidence.evacuated_zones, zone, at, EVACUATE) {
             findings.add(Rule::Evacuated, format!("{engine} got job {id} in {zone}"));
         }
@@ -32,7 +46,9 @@
 }
 
 fn is_closed(spans: &[Span], name: &str, at: u64, bound: u64) -> bool {
-    spans.iter().any(|(who, from, until)| who == name && at > from + bound && at < *until)
+    spans
+        .iter()
+        .any(|(who, from, until)| who == name && at > from + bound && at < *until)
 }
 
 /// Nor does one get more than it may have.
@@ -52,7 +68,9 @@
     for line in engines {
         lines.entry(text(line, "engine")).or_default().push(line);
     }
-    lines.values_mut().for_each(|lines| lines.sort_by_key(|line| number(line, "at")));
+    lines
+        .values_mut()
+        .for_each(|lines| lines.sort_by_key(|line| number(line, "at")));
     lines
 }
 
@@ -70,7 +88,9 @@
             if event == "started" {
                 cold = flag(line, "cold", false).then_some((0, 0));
             }
-            let Some((running, completed)) = &mut cold else { continue };
+            let Some((running, completed)) = &mut cold else {
+                continue;
+            };
             match event {
                 "begun-warm" | "begun-cold" => *running += 1,
                 "ended" | "cancelled" => {
@@ -87,7 +107,10 @@
             }
         }
         worst.extend(most.map(|(_, running, limit)| {
-            (name.to_string(), format!("ran {running} at once while cold, {limit} are allowed"))
+            (
+                name.to_string(),
+                format!("ran {running} at once while cold, {limit} are allowed"),
+            )
         }));
     }
     worst
@@ -98,7 +121,9 @@
 fn overfull(ground: &Ground, engines: &[OwnedValue]) -> Vec<(String, String)> {
     let mut worst = Vec::new();
     for (name, lines) in by_engine(engines) {
-        let Some((slots, point)) = ground.engine_slots.get(name).copied() else { continue };
+        let Some((slots, point)) = ground.engine_slots.get(name).copied() else {
+            continue;
+        };
         let mut held: BTreeMap<&str, u64> = BTreeMap::new();
         let mut most = (0, 0);
         for line in lines {
--- a/testbed/src/checker/evidence.rs
+++ b/testbed/src/checker/evidence.rs
@@ -48,7 +48,11 @@
             ground,
             journals,
             by_job: by_job(journals),
-            callers: journals.callers.iter().map(|line| (text(line, "job"), line)).collect(),
+            callers: journals
+                .callers
+                .iter()
+                .map(|line| (text(line, "job"), line))
+                .collect(),
             dispatched: dispatched(journals),
             arrivals: arrivals(journals),
             acknowledged: acknowledged(journals),
@@ -77,7 +81,11 @@
 
 fn dispatched(journals: &Journals) -> BTreeMap<(&str, &str), Vec<u64>> {
     let mut dispatched: BTreeMap<(&str, &str), Vec<u64>> = BTreeMap::new();
-    for line in journals.nodes.iter().filter(|line| text(line, "what") == "dispatched") {
+    for line in journals
+        .nodes
+        .iter()
+        .filter(|line| text(line, "what") == "dispatched")
+    {
         let key = (text(line, "job"), text(line, "engine"));
         dispatched.entry(key).or_default().push(number(line, "at"));
     }
@@ -85,14 +93,21 @@
 }
 
 fn arrivals(journals: &Journals) -> Vec<u64> {
-    let mut arrivals: Vec<u64> = journals.callers.iter().map(|line| number(line, "at")).collect();
+    let mut arrivals: Vec<u64> = journals
+        .callers
+        .iter()
+        .map(|line| number(line, "at"))
+        .collect();
     arrivals.sort_unstable();
     arrivals
 }
 
 fn acknowledged(journals: &Journals) -> Vec<&OwnedValue> {
-    let mut lines: Vec<&OwnedValue> =
-        journals.operators.iter().filter(|line| number(line, "epoch") > 0).collect();
+    let mut lines: Vec<&OwnedValue> = journals
+        .operators
+        .iter()
+        .filter(|line| number(line, "epoch") > 0)
+        .collect();
     lines.sort_by_key(|line| number(line, "acknowledged"));
     lines
 }
--- a/testbed/src/checker/line.rs
+++ b/testbed/src/checker/line.rs
@@ -5,7 +5,9 @@
 
 /// A text, or "".
 pub fn text<'v>(line: &'v OwnedValue, name: &str) -> &'v str {
-    line.get(name).and_then(|value| value.as_str()).unwrap_or("")
+    line.get(name)
+        .and_then(|value| value.as_str())
+        .unwrap_or("")
 }
 
 /// A whole number, or 0.
@@ -15,5 +17,7 @@
 
 /// A truth value, or the default.
 pub fn flag(line: &OwnedValue, name: &str, default: bool) -> bool {
-    line.get(name).and_then(|value| value.as_bool()).unwrap_or(default)
+    line.get(name)
+        .and_then(|value| value.as_bool())
+        .unwrap_or(default)
 }
--- a/testbed/src/checker/nodes.rs
+++ b/testbed/src/checker/nodes.rs
@@ -39,14 +39,22 @@
 /// A body is seen in its caller's region and its tenant's homes alone.
 fn check_body(evidence: &Evidence, line: &OwnedValue, findings: &mut Findings) {
     let (node, id) = (text(line, "name"), text(line, "job"));
-    let Some(caller) = evidence.callers.get(id) else { return };
+    let Some(caller) = evidence.callers.get(id) else {
+        return;
+    };
     let ground = evidence.ground;
     let region = ground.node_regions.get(node).map_or("", String::as_str);
-    let own = ground.zone_regions.get(text(caller, "zone")).map_or("", String::as_str);
+    let own = ground
+        .zone_regions
+        .get(text(caller, "zone"))
+        .map_or("", String::as_str);
     let homes = evidence.homes.get(text(caller, "tenant"));
     let at = number(line, "at");
     if region != own && homes.is_some_and(|homes| !allows(homes, at, region)) {
-        findings.add(Rule::Homes, format!("{node} in {region} saw the body of job {id}"));
+        findings.add(
+            Rule::Homes,
+            format!("{node} in {region} saw the body of job {id}"),
+        );
     }
 }
 
@@ -54,7 +62,9 @@
 fn check_in_force(acknowledged: &[(u64, u64)], line: &OwnedValue, findings: &mut Findings) {
     let (at, epoch) = (number(line, "at"), number(line, "epoch"));
     let settled = acknowledged.iter().filter(|(since, _)| since + APPLY <= at);
-    let Some(owed) = settled.map(|(_, epoch)| *epoch).max() else { return };
+    let Some(owed) = settled.map(|(_, epoch)| *epoch).max() else {
+        return;
+    };
     if owed > epoch {
         let (node, id) = (text(line, "name"), text(line, "job"));
         let text = format!("{node} sent job {id} by epoch {epoch}, 3 s after {owed} counted");
@@ -66,7 +76,11 @@
 fn check_order(highest: &mut (u64, u64), line: &OwnedValue, findings: &mut Findings) {
     let (at, epoch) = (number(line, "at"), number(line, "epoch"));
     if epoch < highest.0 && at > highest.1 + PASSING {
-        let text = format!("{} fell back from {} to {epoch}", text(line, "name"), highest.0);
+        let text = format!(
+            "{} fell back from {} to {epoch}",
+            text(line, "name"),
+            highest.0
+        );
         findings.add(Rule::Epochs, text);
     }
     if epoch > highest.0 {
--- a/testbed/src/checker/quotas.rs
+++ b/testbed/src/checker/quotas.rs
@@ -22,10 +22,15 @@
 pub fn check(evidence: &Evidence, findings: &mut Findings) {
     let admitted = admitted(evidence);
     for (tenant, (pace, burst)) in &evidence.ground.paces {
-        let quota = Quota { pace: *pace as f64, burst: *burst as f64 };
+        let quota = Quota {
+            pace: *pace as f64,
+            burst: *burst as f64,
+        };
         let callers = &evidence.journals.callers;
-        let mut lines: Vec<&OwnedValue> =
-            callers.iter().filter(|line| text(line, "tenant") == tenant).collect();
+        let mut lines: Vec<&OwnedValue> = callers
+            .iter()
+            .filter(|line| text(line, "tenant") == tenant)
+            .collect();
         lines.sort_by_key(|line| number(line, "at"));
         check_refused(tenant, quota, &lines, findings);
         let times = times_let_in(evidence, &admitted, &lines);
@@ -65,7 +70,9 @@
     // that time was not within it.
     let is_within = |first: usize| {
         let (from, _) = levels[first];
-        let mut near = levels[first..].iter().take_while(|(at, _)| *at <= from + QUEUE);
+        let mut near = levels[first..]
+            .iter()
+            .take_while(|(at, _)| *at <= from + QUEUE);
         near.all(|(_, level)| *level >= quota.burst / 2.0)
     };
     let is_wrong =
@@ -87,7 +94,11 @@
     let let_in = |line: &&OwnedValue| {
         let id = text(line, "job");
         let record = evidence.by_job.get(id)?;
-        let came = record.received.iter().map(|line| number(line, "at")).min()?;
+        let came = record
+            .received
+            .iter()
+            .map(|line| number(line, "at"))
+            .min()?;
         Some(admitted.get(id).copied().unwrap_or(came))
     };
     let mut times: Vec<u64> = lines.iter().filter_map(let_in).collect();
--- a/testbed/src/checker/recovery.rs
+++ b/testbed/src/checker/recovery.rs
@@ -17,9 +17,17 @@
         .collect();
     done.sort_unstable();
     let last = evidence.arrivals.last().copied().unwrap_or(0);
-    let well = evidence.journals.machines.iter().filter(|line| flag(line, "all_well", false));
+    let well = evidence
+        .journals
+        .machines
+        .iter()
+        .filter(|line| flag(line, "all_well", false));
     for at in well.map(|line| number(line, "at")) {
-        let back = done.iter().find(|done| **done > at).copied().unwrap_or(u64::MAX);
+        let back = done
+            .iter()
+            .find(|done| **done > at)
+            .copied()
+            .unwrap_or(u64::MAX);
         // Where nobody called for so long, nothing can be said.
         if back > at + BACK && last > at + BACK {
             let took = back.saturating_sub(at) / 1_000_000;
--- a/testbed/src/checker/requests.rs
+++ b/testbed/src/checker/requests.rs
@@ -32,7 +32,10 @@
             check_whole(line, record, findings);
             check_key(evidence, line, findings);
         }
-        "wrong" => findings.add(Rule::OneRunWhole, format!("job {id}: {}", text(line, "text"))),
+        "wrong" => findings.add(
+            Rule::OneRunWhole,
+            format!("job {id}: {}", text(line, "text")),
+        ),
         _ => {}
     }
 }
@@ -51,7 +54,10 @@
     let status = number(line, "status");
     if RETRYABLE.contains(&status) && number(line, "retry_after") == 0 {
         let code = text(line, "code");
-        findings.add(Rule::RetryAfter, format!("job {id}: {status} {code} says not when"));
+        findings.add(
+            Rule::RetryAfter,
+            format!("job {id}: {status} {code} says not when"),
+        );
     }
 }
 
@@ -68,7 +74,10 @@
 fn check_key(evidence: &Evidence, line: &OwnedValue, findings: &mut Findings) {
     let id = text(line, "job");
     // By when it was sent on; it may have waited at a frozen door.
-    let sent = evidence.dispatched.get(&(id, text(line, "engine"))).and_then(|at| at.last());
+    let sent = evidence
+        .dispatched
+        .get(&(id, text(line, "engine")))
+        .and_then(|at| at.last());
     let at = sent.copied().unwrap_or(number(line, "at"));
     let is_late = evidence.removed_keys.iter().any(|(tenant, from, until)| {
         tenant == text(line, "tenant") && at > from + APPLY && at < *until
@@ -86,13 +95,22 @@
     record: Option<&EngineRecord>,
     findings: &mut Findings,
 ) {
-    let Some(homes) = evidence.homes.get(text(line, "tenant")) else { return };
+    let Some(homes) = evidence.homes.get(text(line, "tenant")) else {
+        return;
+    };
     let id = text(line, "job");
     for received in record.into_iter().flat_map(|record| &record.received) {
         let engine = text(received, "engine");
-        let region = evidence.ground.engine_regions.get(engine).map_or("", String::as_str);
+        let region = evidence
+            .ground
+            .engine_regions
+            .get(engine)
+            .map_or("", String::as_str);
         if !allows(homes, number(received, "at"), region) {
-            findings.add(Rule::Homes, format!("job {id} reached {engine}, outside its homes"));
+            findings.add(
+                Rule::Homes,
+                format!("job {id} reached {engine}, outside its homes"),
+            );
         }
     }
 }
@@ -100,14 +118,21 @@
 /// A job that must not be repeated runs once, over all its caller's rounds.
 fn check_runs(evidence: &Evidence, findings: &mut Findings) {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
-    for line in evidence.journals.callers.iter().filter(|line| flag(line, "once", true)) {
+    for line in evidence
+        .journals
+        .callers
+        .iter()
+        .filter(|line| flag(line, "once", true))
+    {
         let id = text(line, "job");
         let root = match text(line, "root") {
             "" => id,
             root => root,
         };
-        *runs.entry(root).or_default() +=
-            evidence.by_job.get(id).map_or(0, |record| record.begun.len());
+        *runs.entry(root).or_default() += evidence
+            .by_job
+            .get(id)
+            .map_or(0, |record| record.begun.len());
     }
     for (root, count) in runs.iter().filter(|(_, count)| **count > 1) {
         findings.add(Rule::NotTwice, format!("job {root} was run {count} times"));
--- a/testbed/src/checker/retries.rs
+++ b/testbed/src/checker/retries.rs
@@ -21,18 +21,31 @@
     let mut noted: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for line in &evidence.journals.nodes {
         if text(line, "what") == "a further round" {
-            noted.entry(text(line, "job")).or_default().push(number(line, "at"));
+            noted
+                .entry(text(line, "job"))
+                .or_default()
+                .push(number(line, "at"));
         }
     }
     let mut retries: Vec<u64> = Vec::new();
-    let called = evidence.by_job.iter().filter(|(id, _)| evidence.callers.contains_key(**id));
+    let called = evidence
+        .by_job
+        .iter()
+        .filter(|(id, _)| evidence.callers.contains_key(**id));
     for (id, record) in called {
-        let mut received: Vec<u64> =
-            record.received.iter().map(|line| number(line, "at")).collect();
+        let mut received: Vec<u64> = record
+            .received
+            .iter()
+            .map(|line| number(line, "at"))
+            .collect();
         received.sort_unstable();
         let noted = noted.remove(*id).unwrap_or_default();
         let seen = received.get(1..).unwrap_or(&[]);
-        retries.extend(if seen.len() > noted.len() { seen } else { &noted });
+        retries.extend(if seen.len() > noted.len() {
+            seen
+        } else {
+            &noted
+        });
     }
     retries.extend(noted.into_values().flatten());
     retries.sort_unstable();
@@ -48,7 +61,12 @@
     let life = RETRY_LIFE_MS * 1000;
     let past = rounds.iter().map(|from| {
         let (until, earlier) = (from + WINDOW, from.saturating_sub(life));
-        (*from, between(rounds, *from, until), between(arrivals, earlier, until))
+        (
+            *from,
+            between(rounds, *from, until),
+            between(arrivals, earlier, until),
+        )
     });
-    past.filter(|(_, many, of)| many * 5 > *of).max_by_key(|(_, many, of)| many * 5 - of)
+    past.filter(|(_, many, of)| many * 5 > *of)
+        .max_by_key(|(_, many, of)| many * 5 - of)
 }
--- a/testbed/src/children.rs
+++ b/testbed/src/children.rs
@@ -20,7 +20,9 @@
 pub fn spawn(command: Command) -> io::Result<Child> {
     let (reply, result) = mpsc::channel();
     let gone = |_| io::Error::other("the thread that starts processes has ended");
-    spawner().send(Request { command, reply }).map_err(|_| gone(mpsc::RecvError))?;
+    spawner()
+        .send(Request { command, reply })
+        .map_err(|_| gone(mpsc::RecvError))?;
     result.recv().map_err(gone)?
 }
 
--- a/testbed/src/day.rs
+++ b/testbed/src/day.rs
@@ -11,7 +11,12 @@
 pub fn scenarios(text: &str, shape: &str) -> anyhow::Result<Vec<(String, OwnedValue)>> {
     let missing = |name: &str| anyhow::anyhow!("{name}: it is missing or not what it should be");
     let value = residency::parse_text(shape).map_err(|text| anyhow::anyhow!(text))?;
-    let object = |name: &str| value.get(name).and_then(|v| v.as_object()).ok_or(missing(name));
+    let object = |name: &str| {
+        value
+            .get(name)
+            .and_then(|v| v.as_object())
+            .ok_or(missing(name))
+    };
     let mut zones: Vec<(u64, String)> = object("routers")?
         .iter()
         .map(|(zone, count)| (u64::MAX - count.as_u64().unwrap_or(0), zone.clone()))
@@ -32,8 +37,11 @@
     }
     let list = residency::parse_text(&text).map_err(|text| anyhow::anyhow!(text))?;
     let list = list.as_array().ok_or(missing("scenarios"))?;
-    let name =
-        |scenario: &OwnedValue| scenario.get("name").and_then(|v| v.as_str().map(String::from));
+    let name = |scenario: &OwnedValue| {
+        scenario
+            .get("name")
+            .and_then(|v| v.as_str().map(String::from))
+    };
     list.iter()
         .map(|scenario| Ok((name(scenario).ok_or(missing("name"))?, scenario.clone())))
         .collect()
@@ -109,35 +117,52 @@
         "at", "zone", "tenant", "service", "method", "target", "headers", "body", "prompt", "once",
         "operator", "machine", "name",
     ];
-    if let Some((field, _)) = object.iter().find(|(field, _)| !known.contains(&field.as_str())) {
+    if let Some((field, _)) = object
+        .iter()
+        .find(|(field, _)| !known.contains(&field.as_str()))
+    {
         return Err(format!("{field}: no such field is known here"));
     }
     let text = |name: &str| {
         let found = value.get(name).and_then(|v| v.as_str()).map(String::from);
         found.ok_or(format!("{name}: a text should stand here"))
     };
-    let at_ms =
-        value.get("at").and_then(|v| v.as_u64()).ok_or("at: milliseconds should stand here")?;
+    let at_ms = value
+        .get("at")
+        .and_then(|v| v.as_u64())
+        .ok_or("at: milliseconds should stand here")?;
     if let Some(operator) = value.get("operator") {
         if operator.get("do").and_then(|v| v.as_str()).is_none() {
             return Err("operator.do: a text should stand here".into());
         }
-        return Ok(Moment { at_ms, what: What::Operator(operator.clone()) });
+        return Ok(Moment {
+            at_ms,
+            what: What::Operator(operator.clone()),
+        });
     }
     if value.get("machine").is_some() {
         let (action, name) = (text("machine")?, text("name")?);
         if !ACTIONS.contains(&action.as_str()) {
-            return Err(format!("machine: {action} is none of {}", ACTIONS.join(", ")));
+            return Err(format!(
+                "machine: {action} is none of {}",
+                ACTIONS.join(", ")
+            ));
         }
-        return Ok(Moment { at_ms, what: What::Machine { action, name } });
+        return Ok(Moment {
+            at_ms,
+            what: What::Machine { action, name },
+        });
     }
     let mut headers = BTreeMap::new();
     if let Some(given) = value.get("headers") {
-        for (name, header) in
-            given.as_object().ok_or("headers: an object should stand here")?.iter()
+        for (name, header) in given
+            .as_object()
+            .ok_or("headers: an object should stand here")?
+            .iter()
         {
-            let header =
-                header.as_str().ok_or(format!("headers.{name}: a text should stand here"))?;
+            let header = header
+                .as_str()
+                .ok_or(format!("headers.{name}: a text should stand here"))?;
             headers.insert(name.clone(), header.to_string());
         }
     }
@@ -153,7 +178,7 @@
             }
             _ => {
                 return Err(
-                    "prompt: [beginning, length], length up to 8388608, should stand here".into()
+                    "prompt: [beginning, length], length up to 8388608, should stand here".into(),
                 )
             }
         },
@@ -218,13 +243,18 @@
     /// The body as sent. The prompt's first 256 characters come from its
     /// beginning's number alone, the rest also from `salt`.
     pub fn bytes(&self, key: &str, salt: u64) -> Vec<u8> {
-        let Some(body) = &self.body else { return Vec::new() };
+        let Some(body) = &self.body else {
+            return Vec::new();
+        };
         let mut body = body.clone();
         if let Some((beginning, length)) = self.prompt {
             let mut prompt = String::new();
             while prompt.len() < length as usize {
                 let from = if prompt.len() < 256 { beginning } else { salt };
-                prompt.push_str(&format!("{:016x} ", from.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
+                prompt.push_str(&format!(
+                    "{:016x} ",
+                    from.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+                ));
             }
             prompt.truncate(length as usize);
             body.insert("prompt", prompt).expect("a body is an object");
@@ -258,37 +288,60 @@
         .map(|keys| keys.iter().map(|(tenant, _)| tenant.clone()).collect())
         .ok_or(missing("keys"))?;
     tenants.sort();
-    let routers = value.get("routers").and_then(|v| v.as_object()).ok_or(missing("routers"))?;
+    let routers = value
+        .get("routers")
+        .and_then(|v| v.as_object())
+        .ok_or(missing("routers"))?;
     let mut zones: Vec<(String, f64)> = routers
         .iter()
         .map(|(zone, count)| (zone.clone(), count.as_u64().unwrap_or(1) as f64))
         .collect();
     zones.sort_by(|a, b| a.0.cmp(&b.0));
     // A few tenants are large: the n-th has a weight of 1/n.
-    let weights: Vec<(String, f64)> =
-        tenants.iter().enumerate().map(|(n, t)| (t.clone(), 1.0 / (n + 1) as f64)).collect();
+    let weights: Vec<(String, f64)> = tenants
+        .iter()
+        .enumerate()
+        .map(|(n, t)| (t.clone(), 1.0 / (n + 1) as f64))
+        .collect();
     let elect = |of: &[(String, f64)], seed: &mut u64| {
         let mut mark = draw(seed) * of.iter().map(|(_, weight)| weight).sum::<f64>();
         let found = of.iter().find(|(_, weight)| {
             mark -= weight;
             mark < 0.0
         });
-        found.or(of.last()).map_or(String::new(), |(name, _)| name.clone())
+        found
+            .or(of.last())
+            .map_or(String::new(), |(name, _)| name.clone())
     };
     let events = scenario.unwrap_or(&value);
     // The day itself, then the crowds that a scenario adds to it.
     let mut windows = vec![(0.0, 1.0, 1.0, None, None, None)];
-    for crowd in events.get("crowds").and_then(|v| v.as_array()).map_or(&[][..], |list| &list[..]) {
+    for crowd in events
+        .get("crowds")
+        .and_then(|v| v.as_array())
+        .map_or(&[][..], |list| &list[..])
+    {
         let count = |name: &str| {
             let found = crowd.get(name).and_then(|v| v.cast_f64());
             found.ok_or(anyhow::anyhow!("crowds.{name}: a number should stand here"))
         };
         let word = |name: &str| crowd.get(name).and_then(|v| v.as_str()).map(String::from);
         let (tenant, zone, service) = (word("tenant"), word("zone"), word("service"));
-        windows.push((count("from")?, count("to")?, count("times")?, tenant, zone, service));
+        windows.push((
+            count("from")?,
+            count("to")?,
+            count("times")?,
+            tenant,
+            zone,
+            service,
+        ));
     }
     let mut moments = Vec::new();
-    for kind in value.get("mix").and_then(|v| v.as_array()).ok_or(missing("mix"))? {
+    for kind in value
+        .get("mix")
+        .and_then(|v| v.as_array())
+        .ok_or(missing("mix"))?
+    {
         let count =
             |name: &str, default: f64| kind.get(name).and_then(|v| v.cast_f64()).unwrap_or(default);
         let (least, most) = (count("shortest", 0.0), count("longest", 0.0));
@@ -345,8 +398,15 @@
             moments.push(moment(&line).map_err(|text| anyhow::anyhow!("storms: {text}"))?);
         }
     }
-    for event in events.get("events").and_then(|v| v.as_array()).map_or(&[][..], |list| &list[..]) {
-        let share = event.get("share").and_then(|v| v.cast_f64()).ok_or(missing("events.share"))?;
+    for event in events
+        .get("events")
+        .and_then(|v| v.as_array())
+        .map_or(&[][..], |list| &list[..])
+    {
+        let share = event
+            .get("share")
+            .and_then(|v| v.cast_f64())
+            .ok_or(missing("events.share"))?;
         let mut line = event.clone();
         drop(line.remove("share"));
         line.insert("at", (share * seconds as f64 * 1000.0) as u64)?;
@@ -365,12 +425,24 @@
         let good = r#"{"at":5,"zone":"z","tenant":"t","service":"s","method":"GET","target":"/x"}"#;
         let cases = [
             (good.to_string(), vec![]),
-            (format!("{good}\n{}", good.replace(":5", ":4")), vec!["line 2: at: it goes back"]),
+            (
+                format!("{good}\n{}", good.replace(":5", ":4")),
+                vec!["line 2: at: it goes back"],
+            ),
             ("{".into(), vec!["line 1: column"]),
-            (good.replace("\"zone\"", "\"zoen\""), vec!["line 1: zoen: no such field"]),
+            (
+                good.replace("\"zone\"", "\"zoen\""),
+                vec!["line 1: zoen: no such field"],
+            ),
             (good.replace("\"z\"", "7"), vec!["line 1: zone: a text"]),
-            (r#"{"at":1,"machine":"melt","name":"x"}"#.into(), vec!["line 1: machine: melt"]),
-            (r#"{"at":1,"operator":{}}"#.into(), vec!["line 1: operator.do"]),
+            (
+                r#"{"at":1,"machine":"melt","name":"x"}"#.into(),
+                vec!["line 1: machine: melt"],
+            ),
+            (
+                r#"{"at":1,"operator":{}}"#.into(),
+                vec!["line 1: operator.do"],
+            ),
             ("[]\n{}".into(), vec!["line 1: an object", "line 2: at:"]),
         ];
         for (text, wanted) in cases {
@@ -384,9 +456,10 @@
 
     #[test]
     fn a_made_day_reads_back_and_is_the_same_for_the_same_seed() {
-        for shape in
-            [include_str!("../shapes/haatbari.json"), include_str!("../shapes/turnos.json")]
-        {
+        for shape in [
+            include_str!("../shapes/haatbari.json"),
+            include_str!("../shapes/turnos.json"),
+        ] {
             let day = make(shape, None, 5, 1.0, 7).expect("the sample shapes have a mix");
             let text: Vec<String> = day.iter().map(Moment::line).collect();
             assert!(day.len() > 50);
--- a/testbed/src/engine.rs
+++ b/testbed/src/engine.rs
@@ -94,7 +94,11 @@
                 "completed": engine.served.load(Ordering::Relaxed),
                 "uptime_ms": engine.began.elapsed().as_millis() as u64,
             });
-            if sender.send(Ok(Bytes::from(line.encode() + "\n"))).await.is_err() {
+            if sender
+                .send(Ok(Bytes::from(line.encode() + "\n")))
+                .await
+                .is_err()
+            {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -146,7 +150,10 @@
     };
     let Ok(body) = request.into_body().collect().await else {
         note("broken-body", 0);
-        return hyper::Response::builder().status(400).body(Body::empty()).expect("an answer");
+        return hyper::Response::builder()
+            .status(400)
+            .body(Body::empty())
+            .expect("an answer");
     };
     let body = body.to_bytes();
     let run = engine.runs.fetch_add(1, Ordering::Relaxed) + 1;
@@ -177,7 +184,12 @@
 }
 
 fn header(request: &Request, name: &str) -> String {
-    request.headers().get(name).and_then(|value| value.to_str().ok()).unwrap_or("").into()
+    request
+        .headers()
+        .get(name)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or("")
+        .into()
 }
 
 /// Whether the prompt's beginning was seen lately; from now on it was.
@@ -210,7 +222,11 @@
     sender: &mpsc::Sender<anyhow::Result<Bytes>>,
 ) -> bool {
     let settings = &engine.settings;
-    let prefill = if is_warm { settings.prefill_ms / 8 } else { settings.prefill_ms };
+    let prefill = if is_warm {
+        settings.prefill_ms / 8
+    } else {
+        settings.prefill_ms
+    };
     let mut wait = prefill;
     for piece in 0..settings.pieces {
         tokio::select! {
@@ -222,7 +238,11 @@
             "piece": piece, "of": settings.pieces, "engine": settings.name.clone(), "run": run,
             "job": job, "sum": sum,
         });
-        if sender.send(Ok(Bytes::from(line.encode() + "\n"))).await.is_err() {
+        if sender
+            .send(Ok(Bytes::from(line.encode() + "\n")))
+            .await
+            .is_err()
+        {
             return false;
         }
     }
--- a/testbed/src/faults.rs
+++ b/testbed/src/faults.rs
@@ -37,11 +37,22 @@
     fn of(shape: &str) -> anyhow::Result<Ground> {
         let value = residency::parse_text(shape).map_err(|text| anyhow::anyhow!(text))?;
         let missing = |name: &str| anyhow::anyhow!("{name}: an object is missing");
-        let object = |name: &str| value.get(name).and_then(|v| v.as_object()).ok_or(missing(name));
+        let object = |name: &str| {
+            value
+                .get(name)
+                .and_then(|v| v.as_object())
+                .ok_or(missing(name))
+        };
         let sum = |name: &str| -> anyhow::Result<usize> {
-            Ok(object(name)?.iter().filter_map(|(_, count)| count.as_usize()).sum())
+            Ok(object(name)?
+                .iter()
+                .filter_map(|(_, count)| count.as_usize())
+                .sum())
         };
-        let kinds = object("engines")?.iter().filter_map(|(_, kinds)| kinds.as_array()).flatten();
+        let kinds = object("engines")?
+            .iter()
+            .filter_map(|(_, kinds)| kinds.as_array())
+            .flatten();
         let mut zones: Vec<String> = object("routers")?.iter().map(|(z, _)| z.clone()).collect();
         zones.sort();
         let mut keys: Vec<(String, String)> = object("keys")?
@@ -54,7 +65,9 @@
             keys,
             routers: sum("routers")?,
             directories: sum("directories")?,
-            engines: kinds.filter_map(|kind| kind.get("count").and_then(|v| v.as_usize())).sum(),
+            engines: kinds
+                .filter_map(|kind| kind.get("count").and_then(|v| v.as_usize()))
+                .sum(),
         })
     }
 
@@ -116,7 +129,11 @@
     });
     let mut events: Vec<OwnedValue> = Vec::new();
     let (mut crowds, mut storms, mut kinds) = (Vec::new(), Vec::new(), Vec::new());
-    let count = if wanted.is_empty() { 3 + draw.below(4) } else { wanted.len() };
+    let count = if wanted.is_empty() {
+        3 + draw.below(4)
+    } else {
+        wanted.len()
+    };
     while kinds.len() < count {
         let kind = match wanted.get(kinds.len()) {
             Some(kind) => *kind,
@@ -140,7 +157,11 @@
             "killed" => {
                 let name = ground.anybody(&mut draw);
                 machine(from, "kill", &name);
-                machine(until, "start", if name == "leader" { "core" } else { &name });
+                machine(
+                    until,
+                    "start",
+                    if name == "leader" { "core" } else { &name },
+                );
             }
             "engine-killed" => {
                 let name = ground.engine(&mut draw);
@@ -187,7 +208,11 @@
                     _ => "all".to_string(),
                 };
                 // Some come back at once.
-                let back = if draw.below(3) == 0 { from + 0.01 } else { until };
+                let back = if draw.below(3) == 0 {
+                    from + 0.01
+                } else {
+                    until
+                };
                 machine(from, "kill", &word);
                 machine(back, "start", &word);
             }
@@ -258,16 +283,20 @@
 
     #[test]
     fn a_drawn_day_is_the_same_for_the_same_seed_and_can_be_played() {
-        for shape in
-            [include_str!("../shapes/haatbari.json"), include_str!("../shapes/turnos.json")]
-        {
+        for shape in [
+            include_str!("../shapes/haatbari.json"),
+            include_str!("../shapes/turnos.json"),
+        ] {
             let mut seen = std::collections::BTreeSet::new();
             for seed in 0..60 {
                 let day = draw(shape, seed, &[]).expect("a day is drawn");
                 assert_eq!(draw(shape, seed, &[]).expect("and again"), day);
                 let moments = crate::day::make(shape, Some(&day), 20, 0.1, seed).expect("it reads");
                 assert!(moments.len() > 20);
-                let kinds = day.get("kinds").and_then(|v| v.as_array()).expect("it says its kinds");
+                let kinds = day
+                    .get("kinds")
+                    .and_then(|v| v.as_array())
+                    .expect("it says its kinds");
                 seen.extend(kinds.iter().map(|kind| kind.to_string()));
             }
             assert_eq!(seen.len(), KINDS.len(), "every kind is drawn");
--- a/testbed/src/fleet/client.rs
+++ b/testbed/src/fleet/client.rs
@@ -14,7 +14,11 @@
     target: &str,
     body: &OwnedValue,
 ) -> anyhow::Result<OwnedValue> {
-    let text = if body.is_null() { String::new() } else { body.encode() };
+    let text = if body.is_null() {
+        String::new()
+    } else {
+        body.encode()
+    };
     let patience = Duration::from_secs(12);
     let (status, bytes) = web::ask(desk, method, target, &[], text.into(), patience).await?;
     let text = String::from_utf8_lossy(&bytes).into_owned();
--- a/testbed/src/fleet/cluster.rs
+++ b/testbed/src/fleet/cluster.rs
@@ -11,7 +11,10 @@
 
 impl Fleet {
     pub fn desks(&self) -> Vec<SocketAddr> {
-        self.of(Kind::Directory).iter().map(|process| process.desk()).collect()
+        self.of(Kind::Directory)
+            .iter()
+            .map(|process| process.desk())
+            .collect()
     }
 
     /// Submits a change by whichever desk takes it; gives its epoch.
@@ -23,7 +26,10 @@
         for desk in self.desks() {
             match ask(desk, "POST", "/submit", &body).await {
                 Ok(answer) => {
-                    return answer.get("epoch").and_then(|v| v.as_u64()).ok_or(anyhow!("no epoch"))
+                    return answer
+                        .get("epoch")
+                        .and_then(|v| v.as_u64())
+                        .ok_or(anyhow!("no epoch"))
                 }
                 Err(error) => last = error,
             }
@@ -39,18 +45,23 @@
         self.start_all(Kind::Router)?;
         let first = self.desks()[0];
         wait(Duration::from_secs(30), "the first desk", async || {
-            ask(first, "GET", "/counters", &OwnedValue::null()).await.map(|_| ())
+            ask(first, "GET", "/counters", &OwnedValue::null())
+                .await
+                .map(|_| ())
         })
         .await?;
         ask(first, "POST", "/found", &OwnedValue::null()).await?;
         let members = self.of(Kind::Directory).len();
         wait(Duration::from_secs(30), "all voters", async || {
             let status = ask(first, "GET", "/status", &OwnedValue::null()).await?;
-            let voters = status.get("members").and_then(|v| v.as_array()).map_or(0, |list| {
-                list.iter()
-                    .filter(|m| m.get("kind").and_then(|k| k.as_str()) == Some("voter"))
-                    .count()
-            });
+            let voters = status
+                .get("members")
+                .and_then(|v| v.as_array())
+                .map_or(0, |list| {
+                    list.iter()
+                        .filter(|m| m.get("kind").and_then(|k| k.as_str()) == Some("voter"))
+                        .count()
+                });
             anyhow::ensure!(voters == members.min(5), "{voters} voters of {members}");
             Ok(())
         })
@@ -67,13 +78,20 @@
         }
         // A node that no majority has confirmed yet takes no job.
         for node in self.of(Kind::Directory) {
-            wait(Duration::from_secs(30), &format!("{} confirmed", node.name), async || {
-                let status = ask(node.desk(), "GET", "/status", &OwnedValue::null()).await?;
-                let is_recent = status.get("recent").and_then(|v| v.as_bool()).unwrap_or(false);
-                let at = status.get("epoch").and_then(|v| v.as_u64()).unwrap_or(0);
-                anyhow::ensure!(is_recent && at >= epoch, "it has {at}, recent: {is_recent}");
-                Ok(())
-            })
+            wait(
+                Duration::from_secs(30),
+                &format!("{} confirmed", node.name),
+                async || {
+                    let status = ask(node.desk(), "GET", "/status", &OwnedValue::null()).await?;
+                    let is_recent = status
+                        .get("recent")
+                        .and_then(|v| v.as_bool())
+                        .unwrap_or(false);
+                    let at = status.get("epoch").and_then(|v| v.as_u64()).unwrap_or(0);
+                    anyhow::ensure!(is_recent && at >= epoch, "it has {at}, recent: {is_recent}");
+                    Ok(())
+                },
+            )
             .await?;
         }
         self.in_force(epoch, Duration::from_secs(30)).await
@@ -82,23 +100,45 @@
     /// Waits until every running router has an epoch, and sees its engines and
     /// its neighbours.
     pub async fn in_force(&self, epoch: u64, patience: Duration) -> anyhow::Result<()> {
-        for router in self.of(Kind::Router).iter().filter(|router| router.child.is_some()) {
-            wait(patience, &format!("epoch {epoch} at {}", router.name), async || {
-                let vitals = ask(router.desk(), "GET", "/vitals", &OwnedValue::null()).await?;
-                let at = vitals.get("epoch").and_then(|v| v.as_u64()).unwrap_or(0);
-                anyhow::ensure!(at >= epoch, "it has {at}");
-                let engines = vitals.get("engines").and_then(|v| v.as_array());
-                let silent = engines.map_or(0, |list| {
-                    list.iter().filter(|e| e.get("running").is_none_or(|v| v.is_null())).count()
-                });
-                let down = self.of(Kind::Engine).iter().filter(|e| e.child.is_none()).count();
-                anyhow::ensure!(silent <= down, "{silent} engines are not heard");
-                let near = self.of(Kind::Router);
-                let near = near.iter().filter(|r| r.child.is_some() && r.region == router.region);
-                let known = vitals.get("neighbours").and_then(|v| v.as_u64()).unwrap_or(0);
-                anyhow::ensure!(known + 1 >= near.count() as u64, "{known} neighbours are known");
-                Ok(())
-            })
+        for router in self
+            .of(Kind::Router)
+            .iter()
+            .filter(|router| router.child.is_some())
+        {
+            wait(
+                patience,
+                &format!("epoch {epoch} at {}", router.name),
+                async || {
+                    let vitals = ask(router.desk(), "GET", "/vitals", &OwnedValue::null()).await?;
+                    let at = vitals.get("epoch").and_then(|v| v.as_u64()).unwrap_or(0);
+                    anyhow::ensure!(at >= epoch, "it has {at}");
+                    let engines = vitals.get("engines").and_then(|v| v.as_array());
+                    let silent = engines.map_or(0, |list| {
+                        list.iter()
+                            .filter(|e| e.get("running").is_none_or(|v| v.is_null()))
+                            .count()
+                    });
+                    let down = self
+                        .of(Kind::Engine)
+                        .iter()
+                        .filter(|e| e.child.is_none())
+                        .count();
+                    anyhow::ensure!(silent <= down, "{silent} engines are not heard");
+                    let near = self.of(Kind::Router);
+                    let near = near
+                        .iter()
+                        .filter(|r| r.child.is_some() && r.region == router.region);
+                    let known = vitals
+                        .get("neighbours")
+                        .and_then(|v| v.as_u64())
+                        .unwrap_or(0);
+                    anyhow::ensure!(
+                        known + 1 >= near.count() as u64,
+                        "{known} neighbours are known"
+                    );
+                    Ok(())
+                },
+            )
             .await?;
         }
         Ok(())
@@ -108,9 +148,16 @@
     pub async fn shared(&self, wanted: u64) -> anyhow::Result<()> {
         wait(Duration::from_secs(20), "the shared layer", async || {
             let mut sum = 0;
-            for router in self.of(Kind::Router).iter().filter(|router| router.child.is_some()) {
+            for router in self
+                .of(Kind::Router)
+                .iter()
+                .filter(|router| router.child.is_some())
+            {
                 let vitals = ask(router.desk(), "GET", "/vitals", &OwnedValue::null()).await?;
-                sum += vitals.get("cached_share").and_then(|v| v.as_u64()).unwrap_or(0);
+                sum += vitals
+                    .get("cached_share")
+                    .and_then(|v| v.as_u64())
+                    .unwrap_or(0);
             }
             anyhow::ensure!(sum >= wanted, "they hold {sum}");
             Ok(())
@@ -121,7 +168,11 @@
     /// The sum of one counter over all running processes of a kind.
     pub async fn count(&self, kind: Kind, name: &str) -> anyhow::Result<u64> {
         let mut sum = 0;
-        for process in self.of(kind).iter().filter(|process| process.child.is_some()) {
+        for process in self
+            .of(kind)
+            .iter()
+            .filter(|process| process.child.is_some())
+        {
             let counters = ask(process.desk(), "GET", "/counters", &OwnedValue::null()).await?;
             sum += counters.get(name).and_then(|v| v.as_u64()).unwrap_or(0);
         }
@@ -130,7 +181,11 @@
 
     /// The name of the node that leads, as the running nodes see it.
     pub async fn leader(&self) -> anyhow::Result<String> {
-        for node in self.of(Kind::Directory).iter().filter(|node| node.child.is_some()) {
+        for node in self
+            .of(Kind::Directory)
+            .iter()
+            .filter(|node| node.child.is_some())
+        {
             let Ok(status) = ask(node.desk(), "GET", "/status", &OwnedValue::null()).await else {
                 continue;
             };
--- a/testbed/src/fleet/control.rs
+++ b/testbed/src/fleet/control.rs
@@ -48,7 +48,14 @@
                 let [_, _, slots, pieces, piece_ms, prefill_ms] = &process.args[..] else {
                     bail!("an engine has six settings")
                 };
-                command.args(["--name", &process.name, "--address", &real, "--slots", slots]);
+                command.args([
+                    "--name",
+                    &process.name,
+                    "--address",
+                    &real,
+                    "--slots",
+                    slots,
+                ]);
                 command.args([
                     "--pieces",
                     pieces,
@@ -66,16 +73,23 @@
         if process.kind != Kind::Engine && real != address {
             command.args(["--listen", &real]);
         }
-        let log = std::fs::File::options()
-            .create(true)
-            .append(true)
-            .open(self.folder.join("logs").join(format!("{}.log", process.name)))?;
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        let log = std::fs::File::options().create(true).append(true).open(
+            self.folder
+                .join("logs")
+                .join(format!("{}.log", process.name)),
+        )?;
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         Ok(command)
     }
 
     pub fn start(&mut self, name: &str) -> anyhow::Result<()> {
-        let process = self.processes.get_mut(name).ok_or(anyhow!("the fleet has no {name}"))?;
+        let process = self
+            .processes
+            .get_mut(name)
+            .ok_or(anyhow!("the fleet has no {name}"))?;
         if let Some(child) = &mut process.child {
             anyhow::ensure!(process.is_stopping, "{name} runs already");
             child.wait()?;
@@ -98,7 +112,10 @@
 
     /// Ends a process at once, as a lost machine would.
     pub fn kill(&mut self, name: &str) {
-        let process = self.processes.get_mut(name).expect("a process of the fleet");
+        let process = self
+            .processes
+            .get_mut(name)
+            .expect("a process of the fleet");
         if let Some(mut child) = process.child.take() {
             // It may have ended by itself.
             drop(child.kill());
@@ -109,7 +126,11 @@
     /// Sends a signal. A process that is to freeze has done so when this returns:
     /// on a busy machine its threads may run on for a while.
     pub fn signal(&self, name: &str, signal: nix::sys::signal::Signal) -> anyhow::Result<()> {
-        let child = self.get(name).child.as_ref().ok_or(anyhow!("{name} does not run"))?;
+        let child = self
+            .get(name)
+            .child
+            .as_ref()
+            .ok_or(anyhow!("{name} does not run"))?;
         nix::sys::signal::kill(nix::unistd::Pid::from_raw(child.id() as i32), signal)?;
         if signal == nix::sys::signal::Signal::SIGSTOP {
             let begun = Instant::now();
@@ -124,20 +145,28 @@
     /// Asks a process to stop.
     pub fn ask_to_stop(&mut self, name: &str) -> anyhow::Result<()> {
         self.signal(name, nix::sys::signal::Signal::SIGTERM)?;
-        self.processes.get_mut(name).expect("it was signalled").is_stopping = true;
+        self.processes
+            .get_mut(name)
+            .expect("it was signalled")
+            .is_stopping = true;
         Ok(())
     }
 
     /// Asks a process to stop, and waits for it.
     pub fn stop(&mut self, name: &str) -> anyhow::Result<std::process::ExitStatus> {
         self.ask_to_stop(name)?;
-        let process = self.processes.get_mut(name).expect("a process of the fleet");
+        let process = self
+            .processes
+            .get_mut(name)
+            .expect("a process of the fleet");
         Ok(process.child.take().expect("it was signalled").wait()?)
     }
 
     /// Loses a directory node's disk.
     pub fn wipe(&self, name: &str) -> anyhow::Result<()> {
-        Ok(std::fs::remove_dir_all(self.folder.join("data").join(name))?)
+        Ok(std::fs::remove_dir_all(
+            self.folder.join("data").join(name),
+        )?)
     }
 }
 
--- a/testbed/src/fleet/mod.rs
+++ b/testbed/src/fleet/mod.rs
@@ -79,9 +79,16 @@
         let mut number = 0;
         for (cell, engine) in &fleet.shape.engines {
             let field = |name: &str, default: u64| {
-                engine.get(name).and_then(|v| v.as_u64()).unwrap_or(default).to_string()
+                engine
+                    .get(name)
+                    .and_then(|v| v.as_u64())
+                    .unwrap_or(default)
+                    .to_string()
             };
-            let zone = book.cells.get(cell).ok_or(anyhow!("engines: there is no cell {cell}"))?;
+            let zone = book
+                .cells
+                .get(cell)
+                .ok_or(anyhow!("engines: there is no cell {cell}"))?;
             let services: Vec<&str> = engine
                 .get("services")
                 .and_then(|v| v.as_array())
@@ -108,7 +115,9 @@
     pub async fn relay(&mut self) -> anyhow::Result<()> {
         let network = Network::new();
         for process in self.processes.values_mut() {
-            let IpAddr::V4(ip) = process.ip else { bail!("the fleet has addresses of version 4") };
+            let IpAddr::V4(ip) = process.ip else {
+                bail!("the fleet has addresses of version 4")
+            };
             let [first, second, row, last] = ip.octets();
             process.known = IpAddr::V4(Ipv4Addr::new(first, second, row + 100, last));
             let real = SocketAddr::new(process.ip, ADDRESS);
@@ -128,8 +137,12 @@
             "all" => true,
             word => process.name == word || process.zone == word,
         };
-        let names: Vec<String> =
-            self.processes.values().filter(fits).map(|process| process.name.clone()).collect();
+        let names: Vec<String> = self
+            .processes
+            .values()
+            .filter(fits)
+            .map(|process| process.name.clone())
+            .collect();
         anyhow::ensure!(!names.is_empty(), "the fleet has no {word}");
         Ok(names)
     }
@@ -137,10 +150,17 @@
     /// Cuts some processes off from all others, by what they send, by what
     /// they are sent, or both.
     pub fn cut(&self, names: &[String], outward: bool, inward: bool) -> anyhow::Result<()> {
-        let network = self.network.as_ref().ok_or(anyhow!("this fleet has no relays"))?;
+        let network = self
+            .network
+            .as_ref()
+            .ok_or(anyhow!("this fleet has no relays"))?;
         let is_inside = |process: &Process| names.contains(&process.name);
         for inside in self.processes.values().filter(|process| is_inside(process)) {
-            for outside in self.processes.values().filter(|process| !is_inside(process)) {
+            for outside in self
+                .processes
+                .values()
+                .filter(|process| !is_inside(process))
+            {
                 network.cut(outward.then_some((inside.ip, outside.ip)));
                 network.cut(inward.then_some((outside.ip, inside.ip)));
             }
@@ -155,11 +175,16 @@
     }
 
     pub fn get(&self, name: &str) -> &Process {
-        self.processes.get(name).unwrap_or_else(|| panic!("the fleet has no {name}"))
+        self.processes
+            .get(name)
+            .unwrap_or_else(|| panic!("the fleet has no {name}"))
     }
 
     pub fn of(&self, kind: Kind) -> Vec<&Process> {
-        self.processes.values().filter(|process| process.kind == kind).collect()
+        self.processes
+            .values()
+            .filter(|process| process.kind == kind)
+            .collect()
     }
 
     pub fn journals(&self) -> PathBuf {
--- a/testbed/src/fleet/process.rs
+++ b/testbed/src/fleet/process.rs
@@ -67,7 +67,11 @@
         folder = folder.parent().ok_or(anyhow!("no folder"))?;
     }
     let path = folder.join(name);
-    anyhow::ensure!(path.exists(), "{} is not there; build the workspace first", path.display());
+    anyhow::ensure!(
+        path.exists(),
+        "{} is not there; build the workspace first",
+        path.display()
+    );
     Ok(path)
 }
 
@@ -88,7 +92,9 @@
 pub(super) fn is_stopped(process: u32) -> anyhow::Result<bool> {
     for thread in std::fs::read_dir(format!("/proc/{process}/task"))? {
         // One that has ended meanwhile runs no more.
-        let Ok(text) = std::fs::read_to_string(thread?.path().join("stat")) else { continue };
+        let Ok(text) = std::fs::read_to_string(thread?.path().join("stat")) else {
+            continue;
+        };
         let state = text.rsplit(')').next().unwrap_or("").trim_start();
         if !state.starts_with(['T', 't', 'Z', 'X']) {
             return Ok(false);
--- a/testbed/src/fleet/shape.rs
+++ b/testbed/src/fleet/shape.rs
@@ -40,7 +40,10 @@
 
     pub fn parse(text: &str) -> anyhow::Result<Shape> {
         let value = residency::parse_text(text).map_err(|text| anyhow!(text))?;
-        let book = value.get("book").ok_or(anyhow!("book: it is missing"))?.clone();
+        let book = value
+            .get("book")
+            .ok_or(anyhow!("book: it is missing"))?
+            .clone();
         let read =
             residency::Book::read(&book).map_err(|all| anyhow!("book:\n{}", all.join("\n")))?;
         let (routers, directories) = (counts(&value, "routers")?, counts(&value, "directories")?);
@@ -57,19 +60,33 @@
         };
         let mut keys = BTreeMap::new();
         for (tenant, key) in object("keys")?.iter() {
-            let key = key.as_str().ok_or(anyhow!("keys.{tenant}: a text should stand here"))?;
+            let key = key
+                .as_str()
+                .ok_or(anyhow!("keys.{tenant}: a text should stand here"))?;
             keys.insert(tenant.clone(), key.to_string());
         }
         let mut engines = Vec::new();
         for (cell, engine) in object("engines")?.iter() {
-            for kind in
-                engine.as_array().ok_or(anyhow!("engines.{cell}: a list should stand here"))?
+            for kind in engine
+                .as_array()
+                .ok_or(anyhow!("engines.{cell}: a list should stand here"))?
             {
                 engines.push((cell.clone(), kind.clone()));
             }
         }
         engines.sort_by(|a, b| a.0.cmp(&b.0));
-        let name = value.get("name").and_then(|v| v.as_str()).unwrap_or("fleet").to_string();
-        Ok(Shape { name, book, keys, routers, directories, engines })
+        let name = value
+            .get("name")
+            .and_then(|v| v.as_str())
+            .unwrap_or("fleet")
+            .to_string();
+        Ok(Shape {
+            name,
+            book,
+            keys,
+            routers,
+            directories,
+            engines,
+        })
     }
 }
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -7,12 +7,12 @@
 use nix::time::{clock_gettime, ClockId};
 use parking_lot::Mutex;
 use placement::{Company, Following, Margin};
+use protocol::{Frame, Front, Kind};
 use simd_json::json;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
-use protocol::{Frame, Front, Kind};
 use transport::quota::Quota;
 use transport::{link, now, web};
 
@@ -42,7 +42,12 @@
 pub const ADDRESSES: usize = 192 * 200;
 
 pub fn address(octet: u8, number: usize) -> Ipv4Addr {
-    Ipv4Addr::new(127, octet, 64 + (number / 200) as u8, 1 + (number % 200) as u8)
+    Ipv4Addr::new(
+        127,
+        octet,
+        64 + (number / 200) as u8,
+        1 + (number % 200) as u8,
+    )
 }
 
 /// Milliseconds on a clock that all processes of the machine share.
@@ -111,7 +116,13 @@
                 _ if member.region == self.place.1 => 1,
                 _ => 2,
             };
-            ways.extend(member.address.parse().ok().map(|at| (far, rand::random(), at)));
+            ways.extend(
+                member
+                    .address
+                    .parse()
+                    .ok()
+                    .map(|at| (far, rand::random(), at)),
+            );
         }
         ways.extend(settings.seeds.iter().map(|seed| (3, rand::random(), *seed)));
         ways.sort();
@@ -127,7 +138,11 @@
 
     fn take(&mut self, frame: Frame) -> anyhow::Result<()> {
         match frame {
-            Frame::Lease { number, epoch, shares } => {
+            Frame::Lease {
+                number,
+                epoch,
+                shares,
+            } => {
                 if let Some(until) = self.following.lease_valid(number, epoch) {
                     self.lease_valid = clock();
                     self.leases += 1;
@@ -135,11 +150,19 @@
                 }
             }
             Frame::Picture { epoch, events } => {
-                self.following.picture(epoch, &events).map_err(anyhow::Error::msg)?;
+                self.following
+                    .picture(epoch, &events)
+                    .map_err(anyhow::Error::msg)?;
                 self.note();
             }
-            Frame::Change { prior, epoch, events } => {
-                self.following.change(prior, epoch, &events).map_err(anyhow::Error::msg)?;
+            Frame::Change {
+                prior,
+                epoch,
+                events,
+            } => {
+                self.following
+                    .change(prior, epoch, &events)
+                    .map_err(anyhow::Error::msg)?;
                 self.note();
             }
             Frame::Company(news) => self.company.take(&news),
@@ -159,13 +182,19 @@
         return;
     }
     let routers = hollow.company.fronts().count().max(view.fleet as usize);
-    let jobs = if hollow.asked == 0 { spoken } else { JOBS.min(spoken) };
+    let jobs = if hollow.asked == 0 {
+        spoken
+    } else {
+        JOBS.min(spoken)
+    };
     let terms: Vec<&residency::TenantLimits> = view.tenants.values().collect();
     for _ in 0..jobs {
         let at = (hollow.number * 37 + hollow.asked % spoken) % all;
         hollow.asked += 1;
         let of = (terms[at].pace, terms[at].burst);
-        let admitted = hollow.quota.admit(&terms[at].tenant, of, routers, Duration::ZERO);
+        let admitted = hollow
+            .quota
+            .admit(&terms[at].tenant, of, routers, Duration::ZERO);
         // With taps it is answered at once; what the answer is does not matter.
         drop(at_once(admitted));
     }
@@ -204,12 +233,18 @@
             let frame = {
                 let mut hollow = hollow.lock();
                 let heard = hollow.lease_valid.max(begun);
-                ensure!(clock() < heard + PATIENCE_MS as f64, "no lease comes from it");
+                ensure!(
+                    clock() < heard + PATIENCE_MS as f64,
+                    "no lease comes from it"
+                );
                 hollow.beats += 1;
                 let number = hollow.beats;
                 hollow.following.beat(now(), number);
                 let demand = hollow.quota.demands(&name, number);
-                Frame::Beat { front: hollow.front(), demand }
+                Frame::Beat {
+                    front: hollow.front(),
+                    demand,
+                }
             };
             tokio::time::timeout(link::PATIENCE, link::send(&mut writer, &frame)).await??;
             ask(&mut hollow.lock(), settings.spoken);
@@ -257,10 +292,15 @@
     let settings = Arc::new(settings);
     let (again, told) = watch::channel(0u64);
     let range = settings.first..settings.first + settings.count;
-    let all: Vec<Arc<Mutex<Hollow>>> =
-        range.map(|number| Arc::new(Mutex::new(Hollow::new(&settings, number)))).collect();
+    let all: Vec<Arc<Mutex<Hollow>>> = range
+        .map(|number| Arc::new(Mutex::new(Hollow::new(&settings, number))))
+        .collect();
     for hollow in &all {
-        tokio::spawn(live(Arc::clone(hollow), Arc::clone(&settings), told.clone()));
+        tokio::spawn(live(
+            Arc::clone(hollow),
+            Arc::clone(&settings),
+            told.clone(),
+        ));
     }
     let known = all.clone();
     let handler: web::Handler = Arc::new(move |request| {
--- a/testbed/src/journal.rs
+++ b/testbed/src/journal.rs
@@ -13,7 +13,9 @@
 
 /// Microseconds since 1970.
 pub fn wall() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |age| age.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |age| age.as_micros() as u64)
 }
 
 impl Journal {
@@ -21,17 +23,24 @@
         if let Some(folder) = path.parent() {
             std::fs::create_dir_all(folder)?;
         }
-        Ok(Journal(Mutex::new(File::options().create(true).append(true).open(path)?)))
+        Ok(Journal(Mutex::new(
+            File::options().create(true).append(true).open(path)?,
+        )))
     }
 
     /// Writes one line. Invariant: a line is whole or not there, since it goes
     /// out in one write.
     pub fn note(&self, mut value: OwnedValue) {
         if value.get("at").is_none() {
-            value.insert("at", wall()).expect("a journal's line is an object");
+            value
+                .insert("at", wall())
+                .expect("a journal's line is an object");
         }
         let line = value.encode() + "\n";
-        self.0.lock().write_all(line.as_bytes()).expect("the journal can be written");
+        self.0
+            .lock()
+            .write_all(line.as_bytes())
+            .expect("the journal can be written");
     }
 }
 
@@ -44,7 +53,10 @@
         match residency::parse_text(line) {
             Ok(value) => lines.push(value),
             Err(_) if !line.ends_with('\n') => {
-                eprintln!("{}: its last line is torn, it is judged up to it", path.display());
+                eprintln!(
+                    "{}: its last line is torn, it is judged up to it",
+                    path.display()
+                );
             }
             Err(error) => anyhow::bail!("{} line {}: {error}", path.display(), at + 1),
         }
--- a/testbed/src/linearizability.rs
+++ b/testbed/src/linearizability.rs
@@ -35,9 +35,15 @@
     initial: S,
     calls: &[Call<S::Operation, S::Response>],
 ) -> bool {
-    let mut search = Search { calls, seen: HashSet::new() };
-    let start =
-        Position { taken: vec![0; calls.len().div_ceil(64)], newest_start: 0, object: initial };
+    let mut search = Search {
+        calls,
+        seen: HashSet::new(),
+    };
+    let start = Position {
+        taken: vec![0; calls.len().div_ceil(64)],
+        newest_start: 0,
+        object: initial,
+    };
     search.run(start)
 }
 
@@ -65,8 +71,13 @@
     fn run(&mut self, start: Position<S>) -> bool {
         let mut open = vec![start];
         while let Some(position) = open.pop() {
-            let Some(first_end) = self.first_end(&position) else { return true };
-            if !self.seen.insert((position.taken.clone(), position.object.clone())) {
+            let Some(first_end) = self.first_end(&position) else {
+                return true;
+            };
+            if !self
+                .seen
+                .insert((position.taken.clone(), position.object.clone()))
+            {
                 continue;
             }
             for call in 0..self.calls.len() {
@@ -79,8 +90,13 @@
     /// The first end among answered calls that have not taken effect; `None` when
     /// all have.
     fn first_end(&self, position: &Position<S>) -> Option<u64> {
-        let open = self.calls.iter().enumerate().filter(|(at, _)| !position.has_taken(*at));
-        open.filter_map(|(_, call)| call.returned.as_ref().map(|(_, end)| *end)).min()
+        let open = self
+            .calls
+            .iter()
+            .enumerate()
+            .filter(|(at, _)| !position.has_taken(*at));
+        open.filter_map(|(_, call)| call.returned.as_ref().map(|(_, end)| *end))
+            .min()
     }
 
     /// Lets one call take effect next, if it may.
@@ -99,6 +115,10 @@
         let mut taken = position.taken.clone();
         taken[at / 64] |= 1 << (at % 64);
         let newest_start = position.newest_start.max(call.invoked);
-        Some(Position { taken, newest_start, object })
+        Some(Position {
+            taken,
+            newest_start,
+            object,
+        })
     }
 }
--- a/testbed/src/plot.rs
+++ b/testbed/src/plot.rs
@@ -14,7 +14,10 @@
     let count = points.len().max(1) as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
     let (x, y) = (mean(|point| point.0), mean(|point| point.1));
-    let across: f64 = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum();
+    let across: f64 = points
+        .iter()
+        .map(|point| (point.0 - x) * (point.1 - y))
+        .sum();
     let along: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
     let slope = if along > 0.0 { across / along } else { 0.0 };
     (y - slope * x, slope)
@@ -45,7 +48,10 @@
          <text x=\"10\" y=\"20\" font-size=\"14\">{title}</text>\n"
     );
     for (at, panel) in panels.iter().enumerate() {
-        let (left, top) = (WIDE * (at % ACROSS) as f64, HIGH * (at / ACROSS) as f64 + 30.0);
+        let (left, top) = (
+            WIDE * (at % ACROSS) as f64,
+            HIGH * (at / ACROSS) as f64 + 30.0,
+        );
         let most = |of: fn(&(f64, f64)) -> f64| panel.points.iter().map(of).fold(0.0, f64::max);
         let (x_most, y_most) = (most(|p| p.0).max(1e-9), (most(|p| p.1) * 1.1).max(1e-9));
         let place = |(x, y): (f64, f64)| {
@@ -76,12 +82,16 @@
             short(x_most),
         );
         let ((x0, y0), (x1, y1)) = (place((0.0, begin)), place((x_most, begin + slope * x_most)));
-        let _ =
-            writeln!(text, "<path d=\"M{x0:.1} {y0:.1}L{x1:.1} {y1:.1}\" stroke=\"steelblue\"/>");
+        let _ = writeln!(
+            text,
+            "<path d=\"M{x0:.1} {y0:.1}L{x1:.1} {y1:.1}\" stroke=\"steelblue\"/>"
+        );
         for point in &panel.points {
             let (x, y) = place(*point);
-            let _ =
-                writeln!(text, "<circle cx=\"{x:.1}\" cy=\"{y:.1}\" r=\"3\" fill=\"firebrick\"/>");
+            let _ = writeln!(
+                text,
+                "<circle cx=\"{x:.1}\" cy=\"{y:.1}\" r=\"3\" fill=\"firebrick\"/>"
+            );
         }
     }
     text.push_str("</svg>\n");
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -87,7 +87,11 @@
     /// Waits while a way is cut.
     async fn open(&self, from: IpAddr, to: IpAddr) {
         // The sender lives as long as the network itself.
-        let _ = self.cuts.subscribe().wait_for(|cuts| !cuts.contains(&(from, to))).await;
+        let _ = self
+            .cuts
+            .subscribe()
+            .wait_for(|cuts| !cuts.contains(&(from, to)))
+            .await;
     }
 
     async fn carry(
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -71,26 +71,46 @@
         }
         // A body goes by `where`'s word, or to a door of the caller's own zone.
         let is_near = |door: &&(SocketAddr, String)| door.1 == zone || door.1.is_empty();
-        let near: Vec<SocketAddr> =
-            self.ends.doors.iter().filter(is_near).map(|door| door.0).collect();
+        let near: Vec<SocketAddr> = self
+            .ends
+            .doors
+            .iter()
+            .filter(is_near)
+            .map(|door| door.0)
+            .collect();
         let mut known = near.clone();
         known.truncate(3);
-        known.extend(self.ends.doors.iter().filter(|door| !is_near(door)).map(|door| door.0));
+        known.extend(
+            self.ends
+                .doors
+                .iter()
+                .filter(|door| !is_near(door))
+                .map(|door| door.0),
+        );
         let key = self.ends.keys.get(tenant).cloned().unwrap_or_default();
         for door in known.into_iter().take(6) {
             let target = format!("/where?zone={zone}");
             let headers = [("x-tenant-key", key.as_str())];
             let patience = Duration::from_secs(1);
-            let answer = transport::web::ask(door, "GET", &target, &headers, Vec::new(), patience).await;
-            let Ok((200, mut bytes)) = answer else { continue };
+            let answer =
+                transport::web::ask(door, "GET", &target, &headers, Vec::new(), patience).await;
+            let Ok((200, mut bytes)) = answer else {
+                continue;
+            };
             let value = simd_json::to_owned_value(&mut bytes).unwrap_or_default();
-            let list = value.get("routers").and_then(|v| v.as_array()).cloned().unwrap_or_default();
+            let list = value
+                .get("routers")
+                .and_then(|v| v.as_array())
+                .cloned()
+                .unwrap_or_default();
             let doors: Vec<SocketAddr> = list
                 .iter()
                 .filter_map(|router| router.get("door")?.as_str()?.parse().ok())
                 .collect();
             if !doors.is_empty() {
-                self.known.lock().insert(place, (std::time::Instant::now(), doors.clone()));
+                self.known
+                    .lock()
+                    .insert(place, (std::time::Instant::now(), doors.clone()));
                 return doors;
             }
         }
@@ -105,20 +125,28 @@
         let sent = |text: &str| text.replace("@tenant", &key);
         let is_rude = salt % 50 == 7;
         for round in 0..CALLER_ROUNDS {
-            let id = if round == 0 { root.clone() } else { format!("{root}-r{round}") };
+            let id = if round == 0 {
+                root.clone()
+            } else {
+                format!("{root}-r{round}")
+            };
             let work = Call {
                 id,
                 method: job.method.clone(),
                 target: sent(&job.target),
-                headers: job.headers.iter().map(|(n, v)| (n.clone(), sent(v))).collect(),
+                headers: job
+                    .headers
+                    .iter()
+                    .map(|(n, v)| (n.clone(), sent(v)))
+                    .collect(),
                 body: job.bytes(&key, salt),
             };
             let told = match self.round(&root, &job, &work).await {
-                Seen::Refused { outcome, retry_after, .. }
-                    if outcome == "not-run" || !job.is_once =>
-                {
-                    retry_after
-                }
+                Seen::Refused {
+                    outcome,
+                    retry_after,
+                    ..
+                } if outcome == "not-run" || !job.is_once => retry_after,
                 Seen::Unreached => Some(1),
                 Seen::Broken | Seen::Lost(_) if !job.is_once => Some(1),
                 _ => None,
@@ -135,7 +163,12 @@
         let at = wall();
         let mut seen = Seen::Unreached;
         let mut used = None;
-        for door in self.whereabouts(&job.tenant, &job.zone).await.into_iter().take(3) {
+        for door in self
+            .whereabouts(&job.tenant, &job.zone)
+            .await
+            .into_iter()
+            .take(3)
+        {
             used = Some(door);
             seen = call(door, work, CALLER_PATIENCE).await;
             // Nothing was sent to a router that can't be reached.
@@ -158,7 +191,12 @@
                 put("engine", engine.clone().into());
                 put("run", (*run).into());
             }
-            Seen::Refused { status, outcome, code, retry_after } => {
+            Seen::Refused {
+                status,
+                outcome,
+                code,
+                retry_after,
+            } => {
                 put("seen", "refused".into());
                 put("status", u64::from(*status).into());
                 put("outcome", outcome.clone().into());
@@ -186,7 +224,8 @@
         let mut line = json!({ "at": wall() });
         for field in ["do", "zone", "name", "tenant", "state", "book"] {
             if let Some(value) = change.get(field) {
-                line.insert(field, value.clone()).expect("a line is an object");
+                line.insert(field, value.clone())
+                    .expect("a line is an object");
             }
         }
         let mut body = change;
@@ -195,8 +234,17 @@
         }
         let body = body.encode();
         let id = format!("{:016x}", rand::random::<u64>());
-        let submitted = |line| Submitted { line, body: body.clone(), id: id.clone() };
-        let desks: Vec<String> = self.ends.desks.iter().map(|desk| desk.to_string()).collect();
+        let submitted = |line| Submitted {
+            line,
+            body: body.clone(),
+            id: id.clone(),
+        };
+        let desks: Vec<String> = self
+            .ends
+            .desks
+            .iter()
+            .map(|desk| desk.to_string())
+            .collect();
         let desks = desks.join(",");
         let until = std::time::Instant::now() + Duration::from_secs(30);
         let mut last = String::new();
@@ -210,18 +258,25 @@
                 Err(error) => (false, format!("{error:#}")),
             };
             let epoch = text.strip_prefix("acknowledged: epoch ").and_then(|rest| {
-                rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
+                rest.split(|c: char| !c.is_ascii_digit())
+                    .next()?
+                    .parse::<u64>()
+                    .ok()
             });
             if let Some(epoch) = epoch.filter(|_| is_done) {
                 line.insert("acknowledged", wall()).expect("an object");
                 line.insert("epoch", epoch).expect("an object");
-                line.insert("repeated", text.contains("a repeat")).expect("an object");
+                line.insert("repeated", text.contains("a repeat"))
+                    .expect("an object");
                 let ms = self.in_force(epoch).await;
                 line.insert("in_force_ms", ms).expect("an object");
                 return self.submitted.lock().push(submitted(line));
             }
             last = text;
-            if ["(400)", "(409)", "(422)"].iter().any(|code| last.contains(code)) {
+            if ["(400)", "(409)", "(422)"]
+                .iter()
+                .any(|code| last.contains(code))
+            {
                 line.insert("refused", last).expect("an object");
                 return self.submitted.lock().push(submitted(line));
             }
@@ -238,7 +293,8 @@
         for Submitted { mut line, body, id } in all {
             if line.get("epoch").is_some() {
                 let epoch = self.remembered(&body, &id).await;
-                line.insert("remembered", epoch).expect("a line is an object");
+                line.insert("remembered", epoch)
+                    .expect("a line is an object");
             }
             journal.note(line);
         }
@@ -269,10 +325,13 @@
                 loop {
                     let patience = Duration::from_millis(500);
                     let answer =
-                        transport::web::ask(desk, "GET", "/vitals", &[], Vec::new(), patience).await;
+                        transport::web::ask(desk, "GET", "/vitals", &[], Vec::new(), patience)
+                            .await;
                     // A router that can't be asked, or is not well, dispatches
                     // nothing.
-                    let Ok((200, mut bytes)) = answer else { return Some(0) };
+                    let Ok((200, mut bytes)) = answer else {
+                        return Some(0);
+                    };
                     let value = simd_json::to_owned_value(&mut bytes).unwrap_or_default();
                     if value.get("epoch").and_then(|v| v.as_u64()) >= Some(epoch) {
                         return Some(begun.elapsed().as_millis() as u64);
@@ -297,14 +356,24 @@
 fn operator(args: &[&str], input: &str) -> anyhow::Result<(bool, String)> {
     let mut command = Command::new(program("rushctl")?);
     command.args(args);
-    command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
+    command
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped());
     let mut child = children::spawn(command)?;
     let mut stdin = child.stdin.take().expect("it is piped");
     stdin.write_all(input.as_bytes())?;
     drop(stdin);
     let output = child.wait_with_output()?;
-    let text = if output.status.success() { output.stdout } else { output.stderr };
-    Ok((output.status.success(), String::from_utf8_lossy(&text).into_owned()))
+    let text = if output.status.success() {
+        output.stdout
+    } else {
+        output.stderr
+    };
+    Ok((
+        output.status.success(),
+        String::from_utf8_lossy(&text).into_owned(),
+    ))
 }
 
 /// What is done to machines or the network by a day's line. `leader` stands
@@ -331,7 +400,9 @@
         "heal" | "restore" => {
             standing.is_cut = false;
             let network = fleet.network.as_ref();
-            network.ok_or(anyhow::anyhow!("this fleet has no relays"))?.heal();
+            network
+                .ok_or(anyhow::anyhow!("this fleet has no relays"))?
+                .heal();
         }
         "kill" | "stop" => standing.killed = names.clone(),
         _ => {}
@@ -361,7 +432,9 @@
     }
     let is_down = fleet.processes.keys().any(|name| !fleet.is_running(name));
     let all_well = !is_down && standing.frozen.is_empty() && !standing.is_cut;
-    standing.journal.note(json!({ "action": action, "names": names, "all_well": all_well }));
+    standing
+        .journal
+        .note(json!({ "action": action, "names": names, "all_well": all_well }));
     Ok(())
 }
 
@@ -437,11 +510,20 @@
         if is_engine && path.exists() {
             journals.engines.extend(journal::read(&path)?);
         }
-        let log = fleet.folder.join("logs").join(format!("{}.log", process.name));
+        let log = fleet
+            .folder
+            .join("logs")
+            .join(format!("{}.log", process.name));
         if !is_engine && log.exists() {
-            journals.nodes.extend(journal::read_log(&process.name, &log)?);
+            journals
+                .nodes
+                .extend(journal::read_log(&process.name, &log)?);
         }
-        let slots = process.args.get(2).filter(|_| is_engine).and_then(|text| text.parse().ok());
+        let slots = process
+            .args
+            .get(2)
+            .filter(|_| is_engine)
+            .and_then(|text| text.parse().ok());
         places.push((
             &*process.name,
             is_engine,
@@ -450,7 +532,9 @@
             slots.unwrap_or(0),
         ));
     }
-    journals.nodes.sort_by_key(|line| line.get("at").and_then(|v| v.as_u64()));
+    journals
+        .nodes
+        .sort_by_key(|line| line.get("at").and_then(|v| v.as_u64()));
     let findings = check(&Ground::of(&fleet.shape, places.into_iter()), &journals);
     Ok((journals, findings))
 }
@@ -458,7 +542,10 @@
 /// Counts by outcome, and the shares that tell how the path was used.
 pub async fn summary(fleet: &Fleet, journals: &Journals) -> anyhow::Result<String> {
     let text = |line: &OwnedValue, name: &str| {
-        line.get(name).and_then(|v| v.as_str()).unwrap_or("").to_string()
+        line.get(name)
+            .and_then(|v| v.as_str())
+            .unwrap_or("")
+            .to_string()
     };
     let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
     for line in &journals.callers {
@@ -502,9 +589,19 @@
         + count("shared-fresh")
         + count("shared-stale")
         + count("misses");
-    let share = |part: f64, whole: f64| if whole > 0.0 { 100.0 * part / whole } else { 0.0 };
+    let share = |part: f64, whole: f64| {
+        if whole > 0.0 {
+            100.0 * part / whole
+        } else {
+            0.0
+        }
+    };
     let event = |name: &str| {
-        journals.engines.iter().filter(|line| text(line, "event") == name).count() as f64
+        journals
+            .engines
+            .iter()
+            .filter(|line| text(line, "event") == name)
+            .count() as f64
     };
     out.push_str(&format!(
         "looked up: own cache {:.1} %, region's cache {:.1} %, misses {:.1} % (of {looked})\n",
@@ -514,7 +611,10 @@
     ));
     out.push_str(&format!(
         "directory calls: {:.2} per hundred jobs (forwards {}, key alone {}, refreshes {})\n",
-        share(count("forwards") + count("key-only") + count("refreshes"), count("jobs")),
+        share(
+            count("forwards") + count("key-only") + count("refreshes"),
+            count("jobs")
+        ),
         count("forwards"),
         count("key-only"),
         count("refreshes"),
@@ -527,8 +627,11 @@
     ));
     out.push_str(&format!(
         "further rounds: {:.2} % of jobs\n",
-        share(event("received") - journals.callers.len() as f64, journals.callers.len() as f64)
-            .max(0.0)
+        share(
+            event("received") - journals.callers.len() as f64,
+            journals.callers.len() as f64
+        )
+        .max(0.0)
     ));
     let mut spread: Vec<u64> = journals
         .operators
@@ -538,7 +641,11 @@
     spread.sort_unstable();
     out.push_str(&format!(
         "changes: {} acknowledged of {}; in force everywhere after ms: {spread:?}\n",
-        journals.operators.iter().filter(|line| line.get("acknowledged").is_some()).count(),
+        journals
+            .operators
+            .iter()
+            .filter(|line| line.get("acknowledged").is_some())
+            .count(),
         journals.operators.len(),
     ));
     out.push_str(&format!("counters: {counts:?}\n"));
--- a/testbed/src/simulator/checks.rs
+++ b/testbed/src/simulator/checks.rs
@@ -41,7 +41,9 @@
 
     pub(super) fn check(&mut self, at: usize) -> Result<(), String> {
         let identity = self.machines[at].identity;
-        let Some(live) = self.machines[at].live.as_mut() else { return Ok(()) };
+        let Some(live) = self.machines[at].live.as_mut() else {
+            return Ok(());
+        };
         let (role, term) = (live.node.role(), live.node.term());
         let was_leader = std::mem::replace(&mut live.was_leader, role == Role::Leader);
         if role == Role::Leader {
@@ -80,7 +82,11 @@
                     leader.map(|l| l.node.progress().collect::<Vec<_>>()),
                 ));
             }
-            states.insert(format!("{:?} {}", live.state.view.evacuated, live.state.epoch()));
+            states.insert(format!(
+                "{:?} {}",
+                live.state.view.evacuated,
+                live.state.epoch()
+            ));
         }
         match states.len() {
             1 => Ok(()),
@@ -90,7 +96,9 @@
 }
 
 fn describe(machine: &Machine) -> String {
-    let Some(live) = &machine.live else { return format!("{} is down", machine.name) };
+    let Some(live) = &machine.live else {
+        return format!("{} is down", machine.name);
+    };
     let names = |members: &[Member]| -> Vec<String> {
         members.iter().map(|member| member.name.clone()).collect()
     };
--- a/testbed/src/simulator/clients.rs
+++ b/testbed/src/simulator/clients.rs
@@ -8,7 +8,9 @@
 impl Simulation {
     /// A blank node, or one that knows no leader, asks whoever leads to be let in.
     pub(super) fn request_admission(&mut self, at: usize) -> Result<(), String> {
-        let Some(live) = self.machines[at].live.as_ref() else { return Ok(()) };
+        let Some(live) = self.machines[at].live.as_ref() else {
+            return Ok(());
+        };
         let is_blank = live.node.cluster() == 0;
         let is_alone = is_blank || live.node.leader().is_none();
         self.machines[at].is_blank = is_blank;
@@ -16,7 +18,9 @@
             return Ok(());
         }
         self.machines[at].requested_admission_at = self.now;
-        let Some(leader) = self.leader().filter(|leader| *leader != at && self.is_up(*leader))
+        let Some(leader) = self
+            .leader()
+            .filter(|leader| *leader != at && self.is_up(*leader))
         else {
             return Ok(());
         };
@@ -58,7 +62,11 @@
             false if token.is_multiple_of(2) => Command::Evacuate(zone),
             false => Command::GiveBack(zone),
         };
-        let proposal = Proposal { id, base: 0, command };
+        let proposal = Proposal {
+            id,
+            base: 0,
+            command,
+        };
         self.step(at, Input::Propose(token, packed(&proposal)))
     }
 }
--- a/testbed/src/simulator/disk.rs
+++ b/testbed/src/simulator/disk.rs
@@ -21,7 +21,11 @@
 /// keep or lose each by itself.
 enum FolderChange {
     Made(String, Inode),
-    Renamed { from: String, to: String, inode: Inode },
+    Renamed {
+        from: String,
+        to: String,
+        inode: Inode,
+    },
     Removed(String),
 }
 
@@ -86,7 +90,8 @@
         let inode = self.contents.len();
         self.contents.push(Content::default());
         self.names.insert(name.into(), inode);
-        self.unsynced_changes.push(FolderChange::Made(name.into(), inode));
+        self.unsynced_changes
+            .push(FolderChange::Made(name.into(), inode));
     }
 
     fn crash(&mut self, share: usize) {
@@ -170,7 +175,8 @@
         let inode = disk.names.remove(from).ok_or_else(missing)?;
         disk.names.insert(to.into(), inode);
         let (from, to) = (from.into(), to.into());
-        disk.unsynced_changes.push(FolderChange::Renamed { from, to, inode });
+        disk.unsynced_changes
+            .push(FolderChange::Renamed { from, to, inode });
         Ok(())
     }
 
@@ -178,7 +184,8 @@
         let mut disk = self.0.lock();
         disk.burn()?;
         disk.names.remove(name).ok_or_else(missing)?;
-        disk.unsynced_changes.push(FolderChange::Removed(name.into()));
+        disk.unsynced_changes
+            .push(FolderChange::Removed(name.into()));
         Ok(())
     }
 
--- a/testbed/src/simulator/faults.rs
+++ b/testbed/src/simulator/faults.rs
@@ -49,7 +49,10 @@
         }
         if let Some(at) = each(self, weather.slow_disks) {
             // As often as not the one whose disk matters most.
-            let at = self.leader().filter(|_| self.tokens.is_multiple_of(2)).unwrap_or(at);
+            let at = self
+                .leader()
+                .filter(|_| self.tokens.is_multiple_of(2))
+                .unwrap_or(at);
             self.machines[at].slow_until = self.now + 500 + self.draw(3_000);
         }
         if let Some(at) = each(self, weather.full_disks) {
@@ -61,7 +64,10 @@
             }
         }
         if let Some(at) = each(self, weather.freezes) {
-            let at = self.leader().filter(|_| self.tokens.is_multiple_of(2)).unwrap_or(at);
+            let at = self
+                .leader()
+                .filter(|_| self.tokens.is_multiple_of(2))
+                .unwrap_or(at);
             let time = 200 + self.draw(4_000);
             self.machines[at].frozen_until = self.now + time;
             let life = self.machines[at].life;
@@ -101,7 +107,14 @@
         let identities: Vec<NodeId> = self
             .leader()
             .and_then(|leader| self.machines[leader].live.as_ref())
-            .map(|live| live.node.members().voters.iter().map(|v| v.identity).collect())
+            .map(|live| {
+                live.node
+                    .members()
+                    .voters
+                    .iter()
+                    .map(|v| v.identity)
+                    .collect()
+            })
             .unwrap_or_default();
         for at in doomed.into_iter().take(dying) {
             if lost > 0 && identities.contains(&self.machines[at].identity) {
@@ -131,15 +144,22 @@
         };
         let all_whole = members.voters.len() >= 3
             && members.learners.is_empty()
-            && members.voters.iter().all(|voter| is_whole(voter.identity).is_some());
+            && members
+                .voters
+                .iter()
+                .all(|voter| is_whole(voter.identity).is_some());
         all_whole.then_some(members.voters.len())
     }
 
     /// A disk is lost only while every voter has its own: more than a minority
     /// can't be asked of any majority.
     pub(super) fn lose_disk(&mut self, at: usize) {
-        let Some(leader) = self.leader().filter(|leader| *leader != at) else { return };
-        let Some(live) = self.machines[leader].live.as_ref() else { return };
+        let Some(leader) = self.leader().filter(|leader| *leader != at) else {
+            return;
+        };
+        let Some(live) = self.machines[leader].live.as_ref() else {
+            return;
+        };
         let is_voter = live.node.members().is_voter(self.machines[at].identity);
         if is_voter && self.whole_voters().is_some() {
             self.replace_disk(at);
--- a/testbed/src/simulator/history.rs
+++ b/testbed/src/simulator/history.rs
@@ -49,7 +49,12 @@
     type Response = Response;
 
     fn step(&self, operation: &Intent, response: Option<&Response>) -> Option<Configuration> {
-        let Intent::Change { id, based, revision } = operation else {
+        let Intent::Change {
+            id,
+            based,
+            revision,
+        } = operation
+        else {
             let is_right = response.is_none_or(|told| *told == Response::Revision(self.revision));
             return is_right.then(|| self.clone());
         };
@@ -82,7 +87,9 @@
             Intent::SetZone { is_evacuated, .. } => (Response::Taken, *is_evacuated),
             _ => (Response::IsEvacuated(self.0), self.0),
         };
-        response.is_none_or(|told| *told == right).then_some(Zone(after))
+        response
+            .is_none_or(|told| *told == right)
+            .then_some(Zone(after))
     }
 }
 
@@ -112,8 +119,16 @@
     /// Returns the call's place.
     pub(super) fn invoke(&mut self, intent: Intent) -> usize {
         let invoked = self.tick();
-        let call = Call { operation: intent, invoked, returned: None, expires: u64::MAX };
-        self.records.push(Record { call, abandoned_at: u64::MAX });
+        let call = Call {
+            operation: intent,
+            invoked,
+            returned: None,
+            expires: u64::MAX,
+        };
+        self.records.push(Record {
+            call,
+            abandoned_at: u64::MAX,
+        });
         self.records.len() - 1
     }
 
@@ -129,7 +144,9 @@
         let call = &mut self.records[place].call;
         call.returned = Some((response, now));
         let invoked = call.invoked;
-        let Intent::SetZone { zone, .. } = call.operation else { return };
+        let Intent::SetZone { zone, .. } = call.operation else {
+            return;
+        };
         let is_same = |operation: &Intent| matches!(operation, Intent::SetZone { zone: other, .. } if *other == zone);
         for earlier in &mut self.records[..place] {
             let is_fenced = earlier.abandoned_at < invoked && is_same(&earlier.call.operation);
@@ -140,7 +157,10 @@
     }
 
     pub(super) fn answered(&self) -> usize {
-        self.records.iter().filter(|record| record.call.returned.is_some()).count()
+        self.records
+            .iter()
+            .filter(|record| record.call.returned.is_some())
+            .count()
     }
 
     pub(super) fn unanswered(&self) -> usize {
@@ -162,7 +182,11 @@
                 }
             }
         }
-        judge_object("the configuration", Configuration::default(), &configuration)?;
+        judge_object(
+            "the configuration",
+            Configuration::default(),
+            &configuration,
+        )?;
         for (zone, calls) in zones {
             judge_object(&format!("zone-{zone}"), Zone(false), &calls)?;
         }
@@ -180,20 +204,29 @@
     if is_linearizable(initial.clone(), calls) {
         return Ok(());
     }
-    let mut ends: Vec<u64> =
-        calls.iter().filter_map(|call| Some(call.returned.as_ref()?.1)).collect();
+    let mut ends: Vec<u64> = calls
+        .iter()
+        .filter_map(|call| Some(call.returned.as_ref()?.1))
+        .collect();
     ends.sort_unstable();
     let holds = |end: &u64| is_linearizable(initial.clone(), &until(calls, *end));
     let first_wrong = ends[ends.partition_point(holds)];
     let mut known = until(calls, first_wrong);
     let shown = known.split_off(known.len().saturating_sub(CALLS_SHOWN));
     let shown: Vec<String> = shown.iter().map(describe).collect();
-    Err(format!("{name} at event {first_wrong}, after:\n{}", shown.join("\n")))
+    Err(format!(
+        "{name} at event {first_wrong}, after:\n{}",
+        shown.join("\n")
+    ))
 }
 
 /// The history as it was known at an event.
 fn until(calls: &Calls, end: u64) -> Vec<Call<Intent, Response>> {
-    let mut known: Vec<_> = calls.iter().filter(|call| call.invoked <= end).cloned().collect();
+    let mut known: Vec<_> = calls
+        .iter()
+        .filter(|call| call.invoked <= end)
+        .cloned()
+        .collect();
     for call in &mut known {
         call.returned = call.returned.take().filter(|(_, at)| *at <= end);
         if call.expires > end {
@@ -204,7 +237,12 @@
 }
 
 fn describe(call: &Call<Intent, Response>) -> String {
-    let Call { operation, invoked, returned, expires } = call;
+    let Call {
+        operation,
+        invoked,
+        returned,
+        expires,
+    } = call;
     match returned {
         Some((response, end)) => format!("  {invoked}..{end}: {operation:?} -> {response:?}"),
         None if *expires == u64::MAX => format!("  {invoked}..: {operation:?} -> unknown"),
--- a/testbed/src/simulator/losses.rs
+++ b/testbed/src/simulator/losses.rs
@@ -57,7 +57,9 @@
 impl Simulation {
     /// Draws the next losses, as many as the plan allows.
     pub(super) fn lose_machines(&mut self) -> Result<(), String> {
-        let Some(plan) = self.weather.losses else { return Ok(()) };
+        let Some(plan) = self.weather.losses else {
+            return Ok(());
+        };
         let now = self.now;
         let open_before = self.losses.len();
         self.losses.retain(|loss| loss.ends_at > now);
@@ -77,7 +79,9 @@
     }
 
     fn lose(&mut self, kind: Loss, catch_up_ms: u64) -> Result<(), String> {
-        let Some(at) = self.draw_victim() else { return Ok(()) };
+        let Some(at) = self.draw_victim() else {
+            return Ok(());
+        };
         let back_at = match kind {
             Loss::Replaced => self.replace_machine(at),
             Loss::PlannedReplacement => self.replace_as_planned(at, catch_up_ms)?,
@@ -89,7 +93,11 @@
             Loss::Frozen => self.freeze(at),
         };
         self.report.losses += 1;
-        self.losses.push(OpenLoss { machine: at, kind, ends_at: back_at + catch_up_ms });
+        self.losses.push(OpenLoss {
+            machine: at,
+            kind,
+            ends_at: back_at + catch_up_ms,
+        });
         Ok(())
     }
 
@@ -140,7 +148,10 @@
         }
         self.due(ASK_TO_LEAVE_EVERY_MS, Due::ToldToStop { at, until });
         self.step(at, Input::TransferLeadership)?;
-        let known = self.machines[at].live.as_ref().and_then(|live| live.node.leader());
+        let known = self.machines[at]
+            .live
+            .as_ref()
+            .and_then(|live| live.node.leader());
         let leader = known.and_then(|identity| self.place(identity));
         let Some(leader) = leader.filter(|leader| *leader != at && self.is_up(*leader)) else {
             return Ok(());
@@ -150,7 +161,10 @@
         }
         self.tokens += 1;
         self.leaving.insert(self.tokens, at);
-        self.step(leader, Input::Leave(self.tokens, self.machines[at].identity))
+        self.step(
+            leader,
+            Input::Leave(self.tokens, self.machines[at].identity),
+        )
     }
 
     /// The leader let a machine go.
@@ -192,7 +206,9 @@
     /// restarted in the midst of it.
     fn cut_off(&mut self, at: usize, is_inbound: bool, is_outbound: bool) -> u64 {
         let wait = 2_000 + self.draw(20_000);
-        let others: Vec<usize> = (0..self.machines.len()).filter(|other| *other != at).collect();
+        let others: Vec<usize> = (0..self.machines.len())
+            .filter(|other| *other != at)
+            .collect();
         for other in others {
             if is_inbound {
                 self.cuts.insert((other, at));
@@ -213,7 +229,9 @@
     /// What no loss within the plan may bring about: a long time without an
     /// acknowledged change.
     pub(super) fn check_liveness(&mut self, since: u64) -> Result<(), String> {
-        let Some(plan) = self.weather.losses else { return Ok(()) };
+        let Some(plan) = self.weather.losses else {
+            return Ok(());
+        };
         let silent_ms = self.now - self.acknowledged_at.max(since);
         self.report.longest_silence_ms = self.report.longest_silence_ms.max(silent_ms);
         if silent_ms <= plan.acknowledged_within_ms {
--- a/testbed/src/simulator/machine.rs
+++ b/testbed/src/simulator/machine.rs
@@ -56,7 +56,9 @@
 
     /// A disk that was full is taken back into use.
     pub(super) fn reopen_disk(&mut self, at: usize) -> Result<(), String> {
-        let Some(live) = self.machines[at].live.as_mut() else { return Ok(()) };
+        let Some(live) = self.machines[at].live.as_mut() else {
+            return Ok(());
+        };
         if !live.is_disk_dead {
             return Ok(());
         }
@@ -76,11 +78,20 @@
             Some(snapshot) => State::restore(&snapshot.state)?,
             None => State::default(),
         };
-        let snapshot_at = persisted.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
+        let snapshot_at = persisted
+            .snapshot
+            .as_ref()
+            .map_or(0, |snapshot| snapshot.index);
         let seed = self.draw(u64::MAX);
         let timing = self.weather.timing();
         self.machines[at].life += 1;
-        let node = Node::new(self.machines[at].identity, timing, seed, self.clock(at), persisted);
+        let node = Node::new(
+            self.machines[at].identity,
+            timing,
+            seed,
+            self.clock(at),
+            persisted,
+        );
         self.machines[at].is_blank = node.cluster() == 0;
         self.machines[at].live = Some(Live {
             node,
@@ -110,7 +121,9 @@
         let share = self.draw(1001) as usize;
         let operations = self.draw(8) as u32;
         let machine = &mut self.machines[at];
-        let Some(mut live) = machine.live.take() else { return };
+        let Some(mut live) = machine.live.take() else {
+            return;
+        };
         // A disk that failed before takes no more.
         let is_within_write = is_within_write && !live.is_disk_dead;
         if let Some((_, batch)) = live.writes.pop_front().filter(|_| is_within_write) {
@@ -126,7 +139,9 @@
 
     pub(super) fn step(&mut self, at: usize, input: Input) -> Result<(), String> {
         let now = self.clock(at);
-        let Some(live) = self.machines[at].live.as_mut() else { return Ok(()) };
+        let Some(live) = self.machines[at].live.as_mut() else {
+            return Ok(());
+        };
         // What `due` promises: before it, a beat finds nothing to do.
         let is_tick = matches!(input, Input::Tick);
         let is_early = is_tick && live.is_idle && live.node.due() > now;
@@ -183,7 +198,11 @@
 
     pub(super) fn begin_write(&mut self, at: usize) {
         let is_slow = self.machines[at].slow_until > self.now;
-        let time = if is_slow { 300 + self.draw(1_500) } else { 1 + self.draw(8) };
+        let time = if is_slow {
+            300 + self.draw(1_500)
+        } else {
+            1 + self.draw(8)
+        };
         let life = self.machines[at].life;
         self.due(time, Due::DiskDone(at, life));
     }
@@ -241,7 +260,9 @@
     /// would come after the snapshot's.
     pub(super) fn take_snapshot(&mut self, at: usize) -> Result<(), String> {
         let now = self.clock(at);
-        let Some(live) = self.machines[at].live.as_mut() else { return Ok(()) };
+        let Some(live) = self.machines[at].live.as_mut() else {
+            return Ok(());
+        };
         let index = live.node.applied();
         if index < live.snapshot_at + SNAPSHOT_EVERY_ENTRIES {
             return Ok(());
@@ -255,8 +276,13 @@
     }
 
     pub(super) fn disk_done(&mut self, at: usize) -> Result<(), String> {
-        let live = self.machines[at].live.as_mut().expect("checked by its life");
-        let Some((ticket, batch)) = live.writes.pop_front() else { return Ok(()) };
+        let live = self.machines[at]
+            .live
+            .as_mut()
+            .expect("checked by its life");
+        let Some((ticket, batch)) = live.writes.pop_front() else {
+            return Ok(());
+        };
         if live.is_disk_dead {
             return Ok(());
         }
--- a/testbed/src/simulator/mod.rs
+++ b/testbed/src/simulator/mod.rs
@@ -170,20 +170,33 @@
     }
 
     fn place(&self, identity: NodeId) -> Option<usize> {
-        self.machines.iter().position(|machine| machine.identity == identity)
+        self.machines
+            .iter()
+            .position(|machine| machine.identity == identity)
     }
 
     /// The machine whose node leads, in the highest term.
     fn leader(&self) -> Option<usize> {
         (0..self.machines.len())
             .filter(|at| {
-                self.machines[*at].live.as_ref().is_some_and(|l| l.node.role() == Role::Leader)
+                self.machines[*at]
+                    .live
+                    .as_ref()
+                    .is_some_and(|l| l.node.role() == Role::Leader)
+            })
+            .max_by_key(|at| {
+                self.machines[*at]
+                    .live
+                    .as_ref()
+                    .map(|live| live.node.term())
             })
-            .max_by_key(|at| self.machines[*at].live.as_ref().map(|live| live.node.term()))
     }
 
     fn is_up(&self, at: usize) -> bool {
-        self.machines[at].live.as_ref().is_some_and(|live| !live.is_disk_dead)
+        self.machines[at]
+            .live
+            .as_ref()
+            .is_some_and(|live| !live.is_disk_dead)
             && self.machines[at].frozen_until <= self.now
     }
 
@@ -196,7 +209,9 @@
             self.now = time;
             match due {
                 Due::Deliver(message) => {
-                    let Some(to) = self.place(message.to) else { continue };
+                    let Some(to) = self.place(message.to) else {
+                        continue;
+                    };
                     let frozen = self.machines[to].frozen_until;
                     if frozen > self.now {
                         // Sockets keep what came in meanwhile.
@@ -273,8 +288,9 @@
             }
             if self.now >= limit {
                 let states = self.describe_machines();
-                return self
-                    .fail(format!("long after founding, voters are {voters:?}: {states:#?}"));
+                return self.fail(format!(
+                    "long after founding, voters are {voters:?}: {states:#?}"
+                ));
             }
             self.run_until(self.now + 500)?;
         }
@@ -298,7 +314,11 @@
             self.machines[at].frozen_until = 0;
             self.machines[at].slow_until = 0;
             self.machines[at].files.set_full(false);
-            if self.machines[at].live.as_ref().is_some_and(|live| live.is_disk_dead) {
+            if self.machines[at]
+                .live
+                .as_ref()
+                .is_some_and(|live| live.is_disk_dead)
+            {
                 self.crash(at);
             }
             if self.machines[at].live.is_none() && !self.machines[at].is_gone {
