--- a/testbed/src/simulator/network.rs
+++ b/testbed/src/simulator/network.rs
@@ -13,17 +13,25 @@
     /// arrive long after.
     pub(super) fn transit(&mut self, from: usize, to: usize) -> Option<u64> {
         if self.cuts.contains(&(from, to)) || self.chance(self.weather.loss) {
-            return self.chance(500).then(|| 200 + self.draw(LONGEST_HELD_BACK_MS));
+            return self
+                .chance(500)
+                .then(|| 200 + self.draw(LONGEST_HELD_BACK_MS));
         }
         Some(1 + self.draw(self.weather.delay))
     }
 
     pub(super) fn send(&mut self, from: usize, message: Message) {
-        let Some(to) = self.place(message.to) else { return };
+        let Some(to) = self.place(message.to) else {
+            return;
+        };
         if self.cuts.contains(&(from, to)) || self.chance(self.weather.loss) {
             return;
         }
-        let copies = if self.chance(self.weather.duplicates) { 2 } else { 1 };
+        let copies = if self.chance(self.weather.duplicates) {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let delay = 1 + self.draw(self.weather.delay);
             // Messages pass each other, and all go through bytes.
--- a/testbed/src/simulator/operators.rs
+++ b/testbed/src/simulator/operators.rs
@@ -45,11 +45,22 @@
     /// A request is looked at again by its node.
     Continues(u64),
     /// A node's question, or its proposal, reaches the leader.
-    ReachesLeader { question: PeerRequest, leader: usize },
+    ReachesLeader {
+        question: PeerRequest,
+        leader: usize,
+    },
     /// The leader's answer is back at the node.
-    LeaderAnswers { request: u64, step: u64, answer: LeaderAnswer },
+    LeaderAnswers {
+        request: u64,
+        step: u64,
+        answer: LeaderAnswer,
+    },
     /// The node's answer is back at the operator.
-    Answered { operator: usize, attempt: u64, response: Response },
+    Answered {
+        operator: usize,
+        attempt: u64,
+        response: Response,
+    },
     /// The operator heard nothing for too long.
     Silence { operator: usize, attempt: u64 },
 }
@@ -87,8 +98,12 @@
 impl Simulation {
     /// Lets every operator without an open operation begin one.
     pub(super) fn drive_operators(&mut self) {
-        let Some(plan) = self.weather.operators else { return };
-        self.operators.operators.resize_with(plan.count, Operator::default);
+        let Some(plan) = self.weather.operators else {
+            return;
+        };
+        self.operators
+            .operators
+            .resize_with(plan.count, Operator::default);
         for operator in 0..plan.count {
             let state = &self.operators.operators[operator];
             if state.open.is_some() || state.idle_until > self.now {
@@ -98,7 +113,12 @@
             let place = self.operators.history.invoke(intent.clone());
             let state = &mut self.operators.operators[operator];
             state.operations += 1;
-            state.open = Some(Operation { intent, place, tries: 0, attempt: 0 });
+            state.open = Some(Operation {
+                intent,
+                place,
+                tries: 0,
+                attempt: 0,
+            });
             self.send_attempt(operator);
         }
     }
@@ -118,28 +138,45 @@
                     false => format!("change-{operator}-{number}"),
                 };
                 let rise = if is_shared { 1 } else { self.draw(3) };
-                Intent::Change { id, based: known, revision: known + rise }
+                Intent::Change {
+                    id,
+                    based: known,
+                    revision: known + rise,
+                }
             }
             _ if known == 0 => Intent::ReadConfiguration,
-            55..85 => Intent::SetZone { zone, is_evacuated: self.chance(500) },
+            55..85 => Intent::SetZone {
+                zone,
+                is_evacuated: self.chance(500),
+            },
             _ => Intent::ReadZone { zone },
         }
     }
 
     fn send_attempt(&mut self, operator: usize) {
-        let in_use: Vec<usize> =
-            (0..self.machines.len()).filter(|at| !self.machines[*at].is_gone).collect();
+        let in_use: Vec<usize> = (0..self.machines.len())
+            .filter(|at| !self.machines[*at].is_gone)
+            .collect();
         let at = in_use[self.draw(in_use.len() as u64) as usize];
         self.operators.attempts += 1;
         let attempt = self.operators.attempts;
         let state = &mut self.operators.operators[operator];
-        let operation = state.open.as_mut().expect("an attempt is of an open operation");
+        let operation = state
+            .open
+            .as_mut()
+            .expect("an attempt is of an open operation");
         operation.tries += 1;
         operation.attempt = attempt;
         let request = Request::new(attempt, operator, operation.intent.clone(), at);
         let delay = 1 + self.draw(20);
-        self.due(delay, Due::Operator(OperatorEvent::Arrives(Box::new(request))));
-        self.due(SILENCE_MS, Due::Operator(OperatorEvent::Silence { operator, attempt }));
+        self.due(
+            delay,
+            Due::Operator(OperatorEvent::Arrives(Box::new(request))),
+        );
+        self.due(
+            SILENCE_MS,
+            Due::Operator(OperatorEvent::Silence { operator, attempt }),
+        );
     }
 
     /// The operation that waits for this attempt, if it still does.
@@ -150,7 +187,9 @@
 
     /// The operator turns to another node, or gives up.
     pub(super) fn attempt_failed(&mut self, operator: usize, attempt: u64) {
-        let Some(operation) = self.awaited(operator, attempt) else { return };
+        let Some(operation) = self.awaited(operator, attempt) else {
+            return;
+        };
         let (place, tries, intent) = (operation.place, operation.tries, operation.intent.clone());
         let is_order = matches!(intent, Intent::SetZone { .. });
         if tries == TRIES || is_order {
@@ -171,7 +210,9 @@
 
     /// An answer reaches the operator, which hears only the attempt that it waits for.
     pub(super) fn operator_answered(&mut self, operator: usize, attempt: u64, response: Response) {
-        let Some(operation) = self.awaited(operator, attempt) else { return };
+        let Some(operation) = self.awaited(operator, attempt) else {
+            return;
+        };
         if response == Response::Later {
             return self.attempt_failed(operator, attempt);
         }
@@ -193,6 +234,9 @@
         let operators = std::mem::take(&mut self.operators);
         self.report.operations_answered = operators.history.answered();
         self.report.operations_unanswered = operators.history.unanswered();
-        operators.history.judge().map_err(|text| format!("not linearizable: {text}"))
+        operators
+            .history
+            .judge()
+            .map_err(|text| format!("not linearizable: {text}"))
     }
 }
--- a/testbed/src/simulator/orders.rs
+++ b/testbed/src/simulator/orders.rs
@@ -59,7 +59,16 @@
 impl Request {
     pub(super) fn new(id: u64, operator: usize, intent: Intent, at: usize) -> Request {
         let phase = Phase::Contact;
-        Request { id, operator, intent, at, life: 0, phase, step: 0, until: 0 }
+        Request {
+            id,
+            operator,
+            intent,
+            at,
+            life: 0,
+            phase,
+            step: 0,
+            until: 0,
+        }
     }
 }
 
@@ -71,19 +80,25 @@
             OperatorEvent::ReachesLeader { question, leader } => {
                 self.reach_leader(question, leader)?
             }
-            OperatorEvent::LeaderAnswers { request, step, answer } => {
-                self.leader_answers(request, step, answer)?
-            }
-            OperatorEvent::Answered { operator, attempt, response } => {
-                self.operator_answered(operator, attempt, response)
-            }
+            OperatorEvent::LeaderAnswers {
+                request,
+                step,
+                answer,
+            } => self.leader_answers(request, step, answer)?,
+            OperatorEvent::Answered {
+                operator,
+                attempt,
+                response,
+            } => self.operator_answered(operator, attempt, response),
             OperatorEvent::Silence { operator, attempt } => self.attempt_failed(operator, attempt),
         }
         Ok(())
     }
 
     fn has_fault(&self, fault: PlantedFault) -> bool {
-        self.weather.operators.is_some_and(|plan| plan.fault == Some(fault))
+        self.weather
+            .operators
+            .is_some_and(|plan| plan.fault == Some(fault))
     }
 
     fn request_arrives(&mut self, mut request: Request) -> Result<(), String> {
@@ -95,7 +110,10 @@
         request.life = self.machines[request.at].life;
         request.until = self.now + CONTACT_MS;
         let id = request.id;
-        let is_read = matches!(request.intent, Intent::ReadConfiguration | Intent::ReadZone { .. });
+        let is_read = matches!(
+            request.intent,
+            Intent::ReadConfiguration | Intent::ReadZone { .. }
+        );
         if is_read && self.has_fault(PlantedFault::StaleRead) {
             request.phase = Phase::CatchUp(0);
         }
@@ -105,7 +123,9 @@
 
     /// Takes a request as far as it goes for now.
     fn continue_request(&mut self, id: u64) -> Result<(), String> {
-        let Some(request) = self.operators.requests.get(&id) else { return Ok(()) };
+        let Some(request) = self.operators.requests.get(&id) else {
+            return Ok(());
+        };
         let at = request.at;
         if self.machines[at].life != request.life || self.machines[at].live.is_none() {
             self.operators.requests.remove(&id);
@@ -113,7 +133,10 @@
         }
         let frozen_until = self.machines[at].frozen_until;
         if frozen_until > self.now {
-            self.due(frozen_until - self.now, Due::Operator(OperatorEvent::Continues(id)));
+            self.due(
+                frozen_until - self.now,
+                Due::Operator(OperatorEvent::Continues(id)),
+            );
             return Ok(());
         }
         if self.now > request.until {
@@ -128,7 +151,10 @@
 
     fn catch_up(&mut self, id: u64, index: LogIndex) -> Result<(), String> {
         let at = self.operators.requests[&id].at;
-        let live = self.machines[at].live.as_ref().expect("looked at by the caller");
+        let live = self.machines[at]
+            .live
+            .as_ref()
+            .expect("looked at by the caller");
         if live.node.applied() < index {
             self.due(10, Due::Operator(OperatorEvent::Continues(id)));
             return Ok(());
@@ -138,16 +164,27 @@
 
     /// Puts the request's question to whom its node takes for the leader.
     fn ask_leader(&mut self, id: u64) -> Result<(), String> {
-        let request = self.operators.requests.get_mut(&id).expect("looked at by the caller");
+        let request = self
+            .operators
+            .requests
+            .get_mut(&id)
+            .expect("looked at by the caller");
         request.step += 1;
         let at = request.at;
         let proposal = match &request.phase {
             Phase::Submit(proposal) => Some(proposal.clone()),
             _ => None,
         };
-        let question = PeerRequest { request: id, step: request.step, proposal };
+        let question = PeerRequest {
+            request: id,
+            step: request.step,
+            proposal,
+        };
         self.due(ASK_AGAIN_MS, Due::Operator(OperatorEvent::Continues(id)));
-        let live = self.machines[at].live.as_ref().expect("looked at by the caller");
+        let live = self.machines[at]
+            .live
+            .as_ref()
+            .expect("looked at by the caller");
         let leader = live.node.leader().and_then(|identity| self.place(identity));
         let Some(leader) = leader else { return Ok(()) };
         if leader == at {
@@ -177,7 +214,9 @@
         if !is_proposal {
             self.open_reads.insert(token, self.acknowledged);
         }
-        self.operators.put_to_leader.insert(token, (question.request, question.step));
+        self.operators
+            .put_to_leader
+            .insert(token, (question.request, question.step));
         let live = self.machines[leader].live.as_ref();
         let leads = live.is_some_and(|live| live.node.role() == Role::Leader);
         self.step(leader, input)?;
@@ -190,8 +229,15 @@
 
     /// Sends a leader's answer to whoever put the question with this token.
     pub(super) fn answer_from_leader(&mut self, leader: usize, token: u64, answer: LeaderAnswer) {
-        let Some((request, step)) = self.operators.put_to_leader.remove(&token) else { return };
-        let Some(at) = self.operators.requests.get(&request).map(|request| request.at) else {
+        let Some((request, step)) = self.operators.put_to_leader.remove(&token) else {
+            return;
+        };
+        let Some(at) = self
+            .operators
+            .requests
+            .get(&request)
+            .map(|request| request.at)
+        else {
             return;
         };
         let delay = match at == leader {
@@ -199,16 +245,26 @@
             false => self.transit(leader, at),
         };
         if let Some(delay) = delay {
-            let event = OperatorEvent::LeaderAnswers { request, step, answer };
+            let event = OperatorEvent::LeaderAnswers {
+                request,
+                step,
+                answer,
+            };
             self.due(delay, Due::Operator(event));
         }
     }
 
     fn leader_answers(&mut self, id: u64, step: u64, answer: LeaderAnswer) -> Result<(), String> {
-        let Some(request) = self.operators.requests.get_mut(&id) else { return Ok(()) };
+        let Some(request) = self.operators.requests.get_mut(&id) else {
+            return Ok(());
+        };
         let frozen_until = self.machines[request.at].frozen_until;
         if frozen_until > self.now {
-            let event = OperatorEvent::LeaderAnswers { request: id, step, answer };
+            let event = OperatorEvent::LeaderAnswers {
+                request: id,
+                step,
+                answer,
+            };
             self.due(frozen_until - self.now, Due::Operator(event));
             return Ok(());
         }
@@ -229,16 +285,25 @@
     /// Looks at the state, which is as new as the request, and decides.
     fn decide(&mut self, id: u64) -> Result<(), String> {
         let request = &self.operators.requests[&id];
-        let live = self.machines[request.at].live.as_ref().expect("looked at by the caller");
+        let live = self.machines[request.at]
+            .live
+            .as_ref()
+            .expect("looked at by the caller");
         let state = &live.state;
         let response = match &request.intent {
             Intent::ReadConfiguration => Some(Response::Revision(state.config_document().revision)),
             Intent::ReadZone { zone } => {
                 let zone = format!("zone-{zone}");
-                Some(Response::IsEvacuated(state.view.evacuated.contains(zone.as_str())))
+                Some(Response::IsEvacuated(
+                    state.view.evacuated.contains(zone.as_str()),
+                ))
             }
             Intent::SetZone { .. } => None,
-            Intent::Change { id, based, revision } => decide_change(state, id, *based, *revision),
+            Intent::Change {
+                id,
+                based,
+                revision,
+            } => decide_change(state, id, *based, *revision),
         };
         if let Some(response) = response {
             self.answer(id, response);
@@ -246,7 +311,11 @@
         }
         let proposal = self.proposal(id);
         let until = self.now + SUBMIT_MS;
-        let request = self.operators.requests.get_mut(&id).expect("just looked at");
+        let request = self
+            .operators
+            .requests
+            .get_mut(&id)
+            .expect("just looked at");
         request.phase = Phase::Submit(proposal);
         request.until = until;
         self.continue_request(id)
@@ -254,19 +323,36 @@
 
     fn proposal(&self, id: u64) -> Proposal {
         let request = &self.operators.requests[&id];
-        let live = self.machines[request.at].live.as_ref().expect("looked at by the caller");
+        let live = self.machines[request.at]
+            .live
+            .as_ref()
+            .expect("looked at by the caller");
         match &request.intent {
-            Intent::Change { id: change, based, revision } => {
+            Intent::Change {
+                id: change,
+                based,
+                revision,
+            } => {
                 let is_new = self.has_fault(PlantedFault::NewIdentifierPerTry);
-                let submission_id =
-                    if is_new { format!("{change}-try-{id}") } else { change.clone() };
+                let submission_id = if is_new {
+                    format!("{change}-try-{id}")
+                } else {
+                    change.clone()
+                };
                 let config_document = ConfigDocument {
                     revision: *revision,
                     based: *based,
                     text: format!("# {change}"),
                 };
-                let command = Command::Adopt { config_document, text: TOPOLOGY.into() };
-                Proposal { id: submission_id, base: 0, command }
+                let command = Command::Adopt {
+                    config_document,
+                    text: TOPOLOGY.into(),
+                };
+                Proposal {
+                    id: submission_id,
+                    base: 0,
+                    command,
+                }
             }
             Intent::SetZone { zone, is_evacuated } => {
                 let zone = Name(format!("zone-{zone}"));
@@ -275,8 +361,16 @@
                     false => Command::GiveBack(zone),
                 };
                 let is_fenced = !self.has_fault(PlantedFault::UnfencedEvacuation);
-                let base = if is_fenced { live.state.epoch().max(1) } else { 0 };
-                Proposal { id: format!("order-{id}"), base, command }
+                let base = if is_fenced {
+                    live.state.epoch().max(1)
+                } else {
+                    0
+                };
+                Proposal {
+                    id: format!("order-{id}"),
+                    base,
+                    command,
+                }
             }
             Intent::ReadConfiguration | Intent::ReadZone { .. } => {
                 unreachable!("reads are answered, never submitted")
@@ -292,7 +386,11 @@
             Outcome::Conflict { .. } if goes_on => {
                 // Looked at anew: it may have been taken from another node.
                 let until = self.now + CONTACT_MS;
-                let request = self.operators.requests.get_mut(&id).expect("just looked at");
+                let request = self
+                    .operators
+                    .requests
+                    .get_mut(&id)
+                    .expect("just looked at");
                 request.phase = Phase::Contact;
                 request.until = until;
                 return self.continue_request(id);
@@ -306,13 +404,19 @@
 
     /// Answers the operator; the answer may be lost on its way.
     fn answer(&mut self, id: u64, response: Response) {
-        let Some(request) = self.operators.requests.remove(&id) else { return };
+        let Some(request) = self.operators.requests.remove(&id) else {
+            return;
+        };
         if self.chance(50) {
             return;
         }
         let (operator, attempt) = (request.operator, request.id);
         let delay = 1 + self.draw(20);
-        let event = OperatorEvent::Answered { operator, attempt, response };
+        let event = OperatorEvent::Answered {
+            operator,
+            attempt,
+            response,
+        };
         self.due(delay, Due::Operator(event));
     }
 }
--- a/testbed/src/simulator/weather.rs
+++ b/testbed/src/simulator/weather.rs
@@ -41,9 +41,15 @@
 impl Weather {
     /// The bounds of a node's decisions, as the control nodes derive them.
     pub(super) fn timing(&self) -> Timing {
-        let timing = Timing { max_batch: self.batch, ..Timing::default() };
+        let timing = Timing {
+            max_batch: self.batch,
+            ..Timing::default()
+        };
         match self.losses {
-            Some(plan) => Timing { replace_after_ms: plan.catch_up_ms / 4, ..timing },
+            Some(plan) => Timing {
+                replace_after_ms: plan.catch_up_ms / 4,
+                ..timing
+            },
             None => timing,
         }
     }
@@ -94,7 +100,11 @@
 };
 
 /// Disks that fill up again and again, and are taken back into use.
-pub const FULL: Weather = Weather { full_disks: 400, reopens_disks: true, ..STORM };
+pub const FULL: Weather = Weather {
+    full_disks: 400,
+    reopens_disks: true,
+    ..STORM
+};
 
 /// Power that fails just after a word, and disks that are slow to keep it.
 pub const POWER: Weather = Weather {
@@ -142,16 +152,28 @@
 };
 
 /// Nine machines, two of which may be lost at once.
-pub const NINE_MACHINES: LossPlan =
-    LossPlan { tolerate: 2, catch_up_ms: 6_000, acknowledged_within_ms: 6_000, ..FIVE_MACHINES };
+pub const NINE_MACHINES: LossPlan = LossPlan {
+    tolerate: 2,
+    catch_up_ms: 6_000,
+    acknowledged_within_ms: 6_000,
+    ..FIVE_MACHINES
+};
 
 /// Machines replaced at other names, one after the other, and nothing else.
-pub const REPLACEMENTS: Weather =
-    Weather { losses: Some(LossPlan { kinds: &[Loss::Replaced], ..FIVE_MACHINES }), ..CALM };
+pub const REPLACEMENTS: Weather = Weather {
+    losses: Some(LossPlan {
+        kinds: &[Loss::Replaced],
+        ..FIVE_MACHINES
+    }),
+    ..CALM
+};
 
 /// The same, each planned: the new machine first.
 pub const PLANNED_REPLACEMENTS: Weather = Weather {
-    losses: Some(LossPlan { kinds: &[Loss::PlannedReplacement], ..FIVE_MACHINES }),
+    losses: Some(LossPlan {
+        kinds: &[Loss::PlannedReplacement],
+        ..FIVE_MACHINES
+    }),
     ..CALM
 };
 
@@ -166,7 +188,10 @@
 };
 
 /// All that a large site may lose, in the same storm.
-pub const LARGE_SITE: Weather = Weather { losses: Some(NINE_MACHINES), ..SMALL_SITE };
+pub const LARGE_SITE: Weather = Weather {
+    losses: Some(NINE_MACHINES),
+    ..SMALL_SITE
+};
 
 /// Operators under leaders that come and go, freezes, short cuts and crashes.
 pub const OPERATORS: Weather = Weather {
@@ -181,7 +206,10 @@
     all_down: 20,
     leadership_transfers: 150,
     clients: 0,
-    operators: Some(OperatorPlan { count: 4, fault: None }),
+    operators: Some(OperatorPlan {
+        count: 4,
+        fault: None,
+    }),
     ..CALM
 };
 
@@ -189,7 +217,13 @@
 /// both, restarts in their midst, replacements, lost disks.
 pub const OPERATORS_UNDER_LOSSES: Weather = Weather {
     clients: 0,
-    operators: Some(OperatorPlan { count: 4, fault: None }),
-    losses: Some(LossPlan { acknowledged_within_ms: u64::MAX, ..FIVE_MACHINES }),
+    operators: Some(OperatorPlan {
+        count: 4,
+        fault: None,
+    }),
+    losses: Some(LossPlan {
+        acknowledged_within_ms: u64::MAX,
+        ..FIVE_MACHINES
+    }),
     ..SMALL_SITE
 };
--- a/testbed/tests/checker.rs
+++ b/testbed/tests/checker.rs
@@ -7,12 +7,19 @@
 
 fn lines(text: &str) -> Vec<OwnedValue> {
     let read = |line: &str| residency::parse_text(line).expect("a line of the case reads");
-    text.lines().map(str::trim).filter(|line| !line.is_empty()).map(read).collect()
+    text.lines()
+        .map(str::trim)
+        .filter(|line| !line.is_empty())
+        .map(read)
+        .collect()
 }
 
 fn ground() -> Ground {
     let map = |pairs: &[(&str, &str)]| {
-        pairs.iter().map(|(a, b)| (a.to_string(), b.to_string())).collect()
+        pairs
+            .iter()
+            .map(|(a, b)| (a.to_string(), b.to_string()))
+            .collect()
     };
     Ground {
         engine_regions: map(&[("e1", "north"), ("e2", "south")]),
@@ -50,12 +57,24 @@
 fn each_rule_is_seen_broken() {
     let operator =
         |at: u64, rest: &str| format!(r#"{{"at":{at},"acknowledged":{},{rest}}}"#, at + 10) + "\n";
-    let drain = operator(S, r#""do":"engine-state","state":"draining","name":"e1","epoch":5"#);
-    let serve = operator(9 * S, r#""do":"engine-state","state":"serving","name":"e1","epoch":6"#);
+    let drain = operator(
+        S,
+        r#""do":"engine-state","state":"draining","name":"e1","epoch":5"#,
+    );
+    let serve = operator(
+        9 * S,
+        r#""do":"engine-state","state":"serving","name":"e1","epoch":6"#,
+    );
     let empty = operator(S, r#""do":"evacuate","zone":"north-a","epoch":5"#);
     let gone = operator(S, r#""do":"key-gone","tenant":"ana","epoch":5"#);
     let cases: Vec<(&str, String, String, String, Vec<Rule>)> = vec![
-        ("well", ran("j", "e1", 1, S), caller("j", S, WHOLE), String::new(), vec![]),
+        (
+            "well",
+            ran("j", "e1", 1, S),
+            caller("j", S, WHOLE),
+            String::new(),
+            vec![],
+        ),
         (
             "twice",
             ran("j", "e1", 1, S) + &ran("j", "e1", 2, S),
@@ -77,8 +96,20 @@
             String::new(),
             vec![Rule::NotRunMeansNotRun],
         ),
-        ("not run", String::new(), caller("j", S, NOT_RUN), String::new(), vec![]),
-        ("made up", String::new(), caller("j", S, WHOLE), String::new(), vec![Rule::OneRunWhole]),
+        (
+            "not run",
+            String::new(),
+            caller("j", S, NOT_RUN),
+            String::new(),
+            vec![],
+        ),
+        (
+            "made up",
+            String::new(),
+            caller("j", S, WHOLE),
+            String::new(),
+            vec![Rule::OneRunWhole],
+        ),
         (
             "wrong",
             String::new(),
@@ -121,7 +152,13 @@
             drain + &serve,
             vec![],
         ),
-        ("emptied", ran("j", "e1", 1, 7 * S), caller("j", S, WHOLE), empty, vec![Rule::Evacuated]),
+        (
+            "emptied",
+            ran("j", "e1", 1, 7 * S),
+            caller("j", S, WHOLE),
+            empty,
+            vec![Rule::Evacuated],
+        ),
         (
             "key taken",
             ran("j", "e1", 1, 7 * S),
@@ -157,11 +194,18 @@
     };
     let run = |is_cold: bool, at_once: u64| {
         let start = line(1, "started", &format!(r#","cold":{is_cold},"slots":8"#));
-        let begun: String = (2..2 + at_once).map(|at| line(at, "begun-cold", "")).collect();
+        let begun: String = (2..2 + at_once)
+            .map(|at| line(at, "begun-cold", ""))
+            .collect();
         let ended: String = (20..20 + at_once).map(|at| line(at, "ended", "")).collect();
-        let journals =
-            Journals { engines: lines(&(start + &begun + &ended)), ..Journals::default() };
-        check(&ground(), &journals).iter().map(|f| f.rule).collect::<Vec<_>>()
+        let journals = Journals {
+            engines: lines(&(start + &begun + &ended)),
+            ..Journals::default()
+        };
+        check(&ground(), &journals)
+            .iter()
+            .map(|f| f.rule)
+            .collect::<Vec<_>>()
     };
     assert_eq!(run(true, 1), []);
     assert_eq!(run(true, 2), [Rule::Flooded]);
@@ -172,8 +216,18 @@
 fn too_many_rounds_are_seen() {
     let job = |n: usize| {
         let id = format!("j{n}");
-        let received = |_| ran(&id, "e1", 1, S).lines().next().unwrap_or("").to_string() + "\n";
-        ((0..2).map(received).collect::<String>(), caller(&id, S, r#""seen":"broken""#))
+        let received = |_| {
+            ran(&id, "e1", 1, S)
+                .lines()
+                .next()
+                .unwrap_or("")
+                .to_string()
+                + "\n"
+        };
+        (
+            (0..2).map(received).collect::<String>(),
+            caller(&id, S, r#""seen":"broken""#),
+        )
     };
     let (engines, callers): (Vec<String>, Vec<String>) = (0..100).map(job).unzip();
     let journals = Journals {
@@ -186,7 +240,10 @@
 }
 
 fn found(journals: &Journals) -> Vec<Rule> {
-    check(&ground(), journals).iter().map(|finding| finding.rule).collect()
+    check(&ground(), journals)
+        .iter()
+        .map(|finding| finding.rule)
+        .collect()
 }
 
 /// What processes wrote of themselves: bodies, epochs, further rounds, ends.
@@ -205,21 +262,61 @@
     ) + "\n";
     let none = String::new;
     let cases: Vec<(&str, String, String, Vec<Rule>)> = vec![
-        ("the caller's own region", node(S, "r1", body), none(), vec![]),
-        ("a machine elsewhere", node(S, "d1", body), none(), vec![Rule::Homes]),
-        ("a home that is new", node(2 * S, "d1", body), narrowed.clone(), vec![]),
+        (
+            "the caller's own region",
+            node(S, "r1", body),
+            none(),
+            vec![],
+        ),
+        (
+            "a machine elsewhere",
+            node(S, "d1", body),
+            none(),
+            vec![Rule::Homes],
+        ),
+        (
+            "a home that is new",
+            node(2 * S, "d1", body),
+            narrowed.clone(),
+            vec![],
+        ),
         ("a home that was", node(2 * S, "r1", body), narrowed, vec![]),
-        ("in time", node(3 * S, "r1", &sent(4)), acknowledged(S, 5), vec![]),
-        ("late", node(5 * S, "r1", &sent(4)), acknowledged(S, 5), vec![Rule::InForce]),
+        (
+            "in time",
+            node(3 * S, "r1", &sent(4)),
+            acknowledged(S, 5),
+            vec![],
+        ),
+        (
+            "late",
+            node(5 * S, "r1", &sent(4)),
+            acknowledged(S, 5),
+            vec![Rule::InForce],
+        ),
         (
             "back",
             node(S, "r1", &sent(5)) + &node(2 * S, "r1", &sent(4)),
             none(),
             vec![Rule::Epochs],
         ),
-        ("two nodes", node(S, "r1", &sent(5)) + &node(2 * S, "d1", &sent(4)), none(), vec![]),
-        ("a round more", node(S, "r1", "\"a further round\""), none(), vec![Rule::Retries]),
-        ("an end", node(S, "r1", "\"panicked\""), none(), vec![Rule::Panicked]),
+        (
+            "two nodes",
+            node(S, "r1", &sent(5)) + &node(2 * S, "d1", &sent(4)),
+            none(),
+            vec![],
+        ),
+        (
+            "a round more",
+            node(S, "r1", "\"a further round\""),
+            none(),
+            vec![Rule::Retries],
+        ),
+        (
+            "an end",
+            node(S, "r1", "\"panicked\""),
+            none(),
+            vec![Rule::Panicked],
+        ),
     ];
     for (name, nodes, operators, wanted) in cases {
         let journals = Journals {
@@ -240,22 +337,78 @@
     };
     let well = |at: u64| format!(r#"{{"at":{at},"action":"start","all_well":true}}"#) + "\n";
     let gone = |done: u64| {
-        caller("j", S, &format!(r#""done":{done},"seen":"whole","engine":"e1","run":1"#))
-            + &caller("k", 30 * S, r#""seen":"broken""#)
+        caller(
+            "j",
+            S,
+            &format!(r#""done":{done},"seen":"whole","engine":"e1","run":1"#),
+        ) + &caller("k", 30 * S, r#""seen":"broken""#)
+    };
+    let refused = |rest: &str| {
+        caller(
+            "j",
+            S,
+            &format!(r#""seen":"refused","outcome":"not-run",{rest}"#),
+        )
     };
-    let refused =
-        |rest: &str| caller("j", S, &format!(r#""seen":"refused","outcome":"not-run",{rest}"#));
     let none = String::new;
     let cases: Vec<(&str, String, String, String, Vec<Rule>)> = vec![
-        ("kept", operator(r#""remembered":5,"in_force_ms":9"#), none(), none(), vec![]),
-        ("gone", operator(r#""remembered":null"#), none(), none(), vec![Rule::Lost]),
-        ("another", operator(r#""remembered":9"#), none(), none(), vec![Rule::Lost]),
-        ("slow", operator(r#""in_force_ms":3001"#), none(), none(), vec![Rule::InForce]),
-        ("never", operator(r#""in_force_ms":null"#), none(), none(), vec![Rule::InForce]),
+        (
+            "kept",
+            operator(r#""remembered":5,"in_force_ms":9"#),
+            none(),
+            none(),
+            vec![],
+        ),
+        (
+            "gone",
+            operator(r#""remembered":null"#),
+            none(),
+            none(),
+            vec![Rule::Lost],
+        ),
+        (
+            "another",
+            operator(r#""remembered":9"#),
+            none(),
+            none(),
+            vec![Rule::Lost],
+        ),
+        (
+            "slow",
+            operator(r#""in_force_ms":3001"#),
+            none(),
+            none(),
+            vec![Rule::InForce],
+        ),
+        (
+            "never",
+            operator(r#""in_force_ms":null"#),
+            none(),
+            none(),
+            vec![Rule::InForce],
+        ),
         ("back", none(), gone(14 * S), well(3 * S), vec![]),
-        ("not back", none(), gone(16 * S), well(3 * S), vec![Rule::Back]),
-        ("when", none(), refused(r#""status":503,"retry_after":1"#), none(), vec![]),
-        ("not when", none(), refused(r#""status":503"#), none(), vec![Rule::RetryAfter]),
+        (
+            "not back",
+            none(),
+            gone(16 * S),
+            well(3 * S),
+            vec![Rule::Back],
+        ),
+        (
+            "when",
+            none(),
+            refused(r#""status":503,"retry_after":1"#),
+            none(),
+            vec![],
+        ),
+        (
+            "not when",
+            none(),
+            refused(r#""status":503"#),
+            none(),
+            vec![Rule::RetryAfter],
+        ),
         ("no use", none(), refused(r#""status":401"#), none(), vec![]),
     ];
     for (name, operators, callers, machines, wanted) in cases {
@@ -263,7 +416,11 @@
             operators: lines(&operators),
             callers: lines(&callers),
             machines: lines(&machines),
-            engines: lines(&if name.ends_with("back") { ran("j", "e1", 1, S) } else { none() }),
+            engines: lines(&if name.ends_with("back") {
+                ran("j", "e1", 1, S)
+            } else {
+                none()
+            }),
             ..Journals::default()
         };
         assert_eq!(found(&journals), wanted, "{name}");
@@ -274,10 +431,15 @@
 #[test]
 fn a_job_that_runs_once_in_each_of_two_rounds_ran_twice() {
     let round = |id: &str, run: u64, seen: &str| {
-        (ran(id, "e1", run, run * S), caller(id, run * S, &format!(r#""root":"j",{seen}"#)))
+        (
+            ran(id, "e1", run, run * S),
+            caller(id, run * S, &format!(r#""root":"j",{seen}"#)),
+        )
     };
-    let (first, second) =
-        (round("j", 1, r#""seen":"broken""#), round("j-r1", 2, r#""seen":"broken""#));
+    let (first, second) = (
+        round("j", 1, r#""seen":"broken""#),
+        round("j-r1", 2, r#""seen":"broken""#),
+    );
     let journals = Journals {
         engines: lines(&(first.0 + &second.0)),
         callers: lines(&(first.1 + &second.1)),
@@ -313,13 +475,25 @@
     };
     assert_eq!(day(S / 2, 40, &|_| broken), []);
     assert_eq!(day(S / 4, 40, &|_| broken), [Rule::QuotaPassed]);
-    assert_eq!(day(S / 2, 40, &|n| if n == 30 { refused } else { broken }), [Rule::QuotaRefused]);
-    assert_eq!(day(S / 4, 40, &|n| if n > 7 && n % 2 == 1 { refused } else { broken })[..], []);
+    assert_eq!(
+        day(S / 2, 40, &|n| if n == 30 { refused } else { broken }),
+        [Rule::QuotaRefused]
+    );
+    assert_eq!(
+        day(S / 4, 40, &|n| if n > 7 && n % 2 == 1 {
+            refused
+        } else {
+            broken
+        })[..],
+        []
+    );
 
     let held = |count: u64, apart: u64| {
         let line = |n: u64| {
-            format!(r#"{{"at":{},"engine":"e1","job":"h{n}","event":"received"}}"#, S + n * apart)
-                + "\n"
+            format!(
+                r#"{{"at":{},"engine":"e1","job":"h{n}","event":"received"}}"#,
+                S + n * apart
+            ) + "\n"
         };
         found(&Journals {
             engines: lines(&(0..count).map(line).collect::<String>()),
--- a/testbed/tests/children.rs
+++ b/testbed/tests/children.rs
@@ -1,8 +1,8 @@
 //! A child process is tied to this process, not to the thread that asked for it.
 
-use testbed::children;
 use std::io::{Read, Write};
 use std::process::{Command, Stdio};
+use testbed::children;
 
 #[test]
 fn a_child_outlives_the_thread_that_started_it() {
@@ -11,12 +11,19 @@
         command.stdin(Stdio::piped()).stdout(Stdio::piped());
         children::spawn(command).expect("it starts")
     };
-    let mut child = std::thread::spawn(start).join().expect("the thread ends well");
+    let mut child = std::thread::spawn(start)
+        .join()
+        .expect("the thread ends well");
     let mut stdin = child.stdin.take().expect("it is piped");
     stdin.write_all(b"still here").expect("the child takes it");
     drop(stdin);
     let mut text = String::new();
-    child.stdout.take().expect("it is piped").read_to_string(&mut text).expect("it reads");
+    child
+        .stdout
+        .take()
+        .expect("it is piped")
+        .read_to_string(&mut text)
+        .expect("it reads");
     assert_eq!(text, "still here");
     assert!(child.wait().expect("it ends").success());
 }
--- a/testbed/tests/commands.rs
+++ b/testbed/tests/commands.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::*;
-use testbed::fleet::{program, Kind};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
+use testbed::fleet::{program, Kind};
 
 fn run(name: &str, args: &[&str], input: &str) -> Output {
     let mut child = Command::new(program(name).expect("it is built"))
@@ -38,8 +38,14 @@
         path.display().to_string()
     };
     let broken = file("broken.json", "{\n  \"name\": nope\n}");
-    let odd = file("odd.json", r#"{"nmae":"x","seeds":["127.0.0.1:1","nowhere"],"voters":{}}"#);
-    let book = file("book.json", r#"{"cells":{"c":{"zone":"z"}},"rules":["door"]}"#);
+    let odd = file(
+        "odd.json",
+        r#"{"nmae":"x","seeds":["127.0.0.1:1","nowhere"],"voters":{}}"#,
+    );
+    let book = file(
+        "book.json",
+        r#"{"cells":{"c":{"zone":"z"}},"rules":["door"]}"#,
+    );
     let rules = file("rules", "door a at \"/a/\" tenant bearer\nset fill much");
     let day = file("day", "{\"at\":1}\nnot json");
     let event = |uid: &str, lines: &str| {
@@ -59,7 +65,10 @@
     };
     let good = file(
         "good.ics",
-        &calendar(&[event("w1", &zoned("20360105T020000", "\r\nRRULE:FREQ=WEEKLY;COUNT=3"))]),
+        &calendar(&[event(
+            "w1",
+            &zoned("20360105T020000", "\r\nRRULE:FREQ=WEEKLY;COUNT=3"),
+        )]),
     );
     let bad = file(
         "bad.ics",
@@ -75,14 +84,41 @@
     let melting = r#"[{"name":"x","events":[{"share":0.1,"machine":"melt","name":"router-1"}]}]"#;
     let melting = file("melting.json", melting);
     let drawn = |seeds: &'static str| {
-        vec!["--shape", shape, "--folder", "y", "--print", "yes", "--seeds", seeds]
+        vec![
+            "--shape", shape, "--folder", "y", "--print", "yes", "--seeds", seeds,
+        ]
     };
     let cases: Vec<(&str, Vec<&str>, i32, Vec<&str>)> = vec![
-        ("scenarios", drawn("7-8"), 0, vec!["\"drawn-7\"", "\"drawn-8\""]),
-        ("scenarios", drawn("8-7"), 2, vec!["seeds: 8-7 goes backwards"]),
-        ("scenarios", drawn("8"), 2, vec!["seeds: \"8\" is no range FROM-TO"]),
-        ("scenarios", drawn("1-x"), 2, vec!["seeds: \"1-x\" is no range"]),
-        ("scenarios", drawn("0-1000000"), 2, vec!["over 100000 seeds"]),
+        (
+            "scenarios",
+            drawn("7-8"),
+            0,
+            vec!["\"drawn-7\"", "\"drawn-8\""],
+        ),
+        (
+            "scenarios",
+            drawn("8-7"),
+            2,
+            vec!["seeds: 8-7 goes backwards"],
+        ),
+        (
+            "scenarios",
+            drawn("8"),
+            2,
+            vec!["seeds: \"8\" is no range FROM-TO"],
+        ),
+        (
+            "scenarios",
+            drawn("1-x"),
+            2,
+            vec!["seeds: \"1-x\" is no range"],
+        ),
+        (
+            "scenarios",
+            drawn("0-1000000"),
+            2,
+            vec!["over 100000 seeds"],
+        ),
         (
             "scenarios",
             vec!["--shape", shape, "--folder", "y", "--kinds", "storm,melted"],
@@ -97,11 +133,25 @@
         ),
         (
             "scenarios",
-            vec!["--shape", shape, "--folder", "y", "--scenarios", &melting, "--only", "none"],
+            vec![
+                "--shape",
+                shape,
+                "--folder",
+                "y",
+                "--scenarios",
+                &melting,
+                "--only",
+                "none",
+            ],
             2,
             vec!["there is no scenario none"],
         ),
-        ("scenarios", vec!["--shape", &broken, "--folder", "y"], 2, vec!["line 2, column"]),
+        (
+            "scenarios",
+            vec!["--shape", &broken, "--folder", "y"],
+            2,
+            vec!["line 2, column"],
+        ),
         (
             "operator",
             vec!["windows", "--check", "--days", "3650", &good],
@@ -125,7 +175,12 @@
             ],
         ),
         ("operator", vec!["windows", "--check", &day], 1, vec!["day"]),
-        ("router", vec!["--help"], 0, vec!["--door IP:PORT", "Ends with 2"]),
+        (
+            "router",
+            vec!["--help"],
+            0,
+            vec!["--door IP:PORT", "Ends with 2"],
+        ),
         ("directory", vec!["--version"], 0, vec!["directory 0.1.0"]),
         (
             "router",
@@ -140,7 +195,12 @@
             ],
         ),
         ("router", vec!["--dor", "x"], 2, vec!["dor"]),
-        ("directory", vec!["--boot", &broken], 2, vec!["line 2, column"]),
+        (
+            "directory",
+            vec!["--boot", &broken],
+            2,
+            vec!["line 2, column"],
+        ),
         (
             "directory",
             vec!["--boot", &odd],
@@ -152,20 +212,58 @@
                 "data: this setting is missing",
             ],
         ),
-        ("directory", vec!["--voters", "0"], 2, vec!["no whole number from 1 to 9"]),
+        (
+            "directory",
+            vec!["--voters", "0"],
+            2,
+            vec!["no whole number from 1 to 9"],
+        ),
         ("operator", vec![], 2, vec!["a command is missing"]),
-        ("operator", vec!["--help"], 0, vec!["evacuate ZONE", "--wait SECONDS"]),
-        ("operator", vec!["--help", "revise"], 0, vec!["operator revise FILE", "--partial"]),
+        (
+            "operator",
+            vec!["--help"],
+            0,
+            vec!["evacuate ZONE", "--wait SECONDS"],
+        ),
+        (
+            "operator",
+            vec!["--help", "revise"],
+            0,
+            vec!["operator revise FILE", "--partial"],
+        ),
         ("operator", vec!["frobnicate"], 2, vec!["no such command"]),
-        ("operator", vec!["evacuate"], 2, vec!["usage: operator evacuate ZONE"]),
-        ("operator", vec!["status", "--wait", "3"], 2, vec!["status knows no --wait"]),
-        ("operator", vec!["--desk", "x", "status"], 2, vec!["x: no IP number and port"]),
-        ("operator", vec!["--desk", "127.0.0.1:1", "status"], 1, vec!["asking 127.0.0.1:1"]),
+        (
+            "operator",
+            vec!["evacuate"],
+            2,
+            vec!["usage: operator evacuate ZONE"],
+        ),
+        (
+            "operator",
+            vec!["status", "--wait", "3"],
+            2,
+            vec!["status knows no --wait"],
+        ),
+        (
+            "operator",
+            vec!["--desk", "x", "status"],
+            2,
+            vec!["x: no IP number and port"],
+        ),
+        (
+            "operator",
+            vec!["--desk", "127.0.0.1:1", "status"],
+            1,
+            vec!["asking 127.0.0.1:1"],
+        ),
         (
             "operator",
             vec!["check", &book],
             1,
-            vec!["cells.c.zone: there is no zone z", "rules: line 1, column 5"],
+            vec![
+                "cells.c.zone: there is no zone z",
+                "rules: line 1, column 5",
+            ],
         ),
         (
             "operator",
@@ -186,7 +284,10 @@
         let found = words(&output);
         assert_eq!(output.status.code(), Some(code), "{name} {args:?}: {found}");
         for wanted in wanted {
-            assert!(found.contains(wanted), "{name} {args:?} lacks {wanted:?}: {found}");
+            assert!(
+                found.contains(wanted),
+                "{name} {args:?} lacks {wanted:?}: {found}"
+            );
         }
     }
 }
@@ -209,16 +310,36 @@
 
     let cases: Vec<(Vec<&str>, &str, i32, Vec<&str>)> = vec![
         (vec!["found"], "", 1, vec!["founded-already (409)"]),
-        (vec!["key-add", "cleo", "--wait", "20"], "cleo-key-0003\n", 1, vec!["no tenant cleo"]),
+        (
+            vec!["key-add", "cleo", "--wait", "20"],
+            "cleo-key-0003\n",
+            1,
+            vec!["no tenant cleo"],
+        ),
         (
             vec!["revise", "--partial", &part, "--wait", "20", "--id", "r-1"],
             "",
             0,
             vec!["in force everywhere"],
         ),
-        (vec!["revise", "--partial", &part, "--id", "r-1"], "", 0, vec!["a repeat"]),
-        (vec!["revise", "--partial", &part, "--base", "1"], "", 1, vec!["conflict (409)"]),
-        (vec!["key-add", "cleo", "--wait", "20"], "short\n", 1, vec!["8 to 256 characters"]),
+        (
+            vec!["revise", "--partial", &part, "--id", "r-1"],
+            "",
+            0,
+            vec!["a repeat"],
+        ),
+        (
+            vec!["revise", "--partial", &part, "--base", "1"],
+            "",
+            1,
+            vec!["conflict (409)"],
+        ),
+        (
+            vec!["key-add", "cleo", "--wait", "20"],
+            "short\n",
+            1,
+            vec!["8 to 256 characters"],
+        ),
         (
             vec!["key-add", "cleo", "--wait", "20"],
             "cleo-key-0003\n",
@@ -234,18 +355,53 @@
         (vec!["explain", "cleo", "pictures"], "", 1, vec!["no-place"]),
         (vec!["members"], "", 0, vec!["directory-3", "leads"]),
         (vec!["book"], "", 0, vec!["cleo"]),
-        (vec!["engine-drain", "engine-1", "--wait", "20"], "", 0, vec!["acknowledged"]),
-        (vec!["move", "ben", "writer", "north-1", "--wait", "20"], "", 0, vec!["acknowledged"]),
-        (vec!["evacuate", "south-a", "--wait", "20"], "", 0, vec!["acknowledged"]),
+        (
+            vec!["engine-drain", "engine-1", "--wait", "20"],
+            "",
+            0,
+            vec!["acknowledged"],
+        ),
+        (
+            vec!["move", "ben", "writer", "north-1", "--wait", "20"],
+            "",
+            0,
+            vec!["acknowledged"],
+        ),
+        (
+            vec!["evacuate", "south-a", "--wait", "20"],
+            "",
+            0,
+            vec!["acknowledged"],
+        ),
         (
             vec!["status"],
             "",
             0,
-            vec!["draining", "evacuated: south-a", "moving: ben/writer to north-1", "router-3"],
+            vec![
+                "draining",
+                "evacuated: south-a",
+                "moving: ben/writer to north-1",
+                "router-3",
+            ],
+        ),
+        (
+            vec!["submit"],
+            "{\"do\":",
+            1,
+            vec!["standard input: line 1, column"],
+        ),
+        (
+            vec!["submit"],
+            r#"{"do":"dance"}"#,
+            1,
+            vec!["do: dance is nothing"],
+        ),
+        (
+            vec!["submit"],
+            r#"{"do":"evacuate","zone":"south-a"}"#,
+            0,
+            vec!["acknowledged"],
         ),
-        (vec!["submit"], "{\"do\":", 1, vec!["standard input: line 1, column"]),
-        (vec!["submit"], r#"{"do":"dance"}"#, 1, vec!["do: dance is nothing"]),
-        (vec!["submit"], r#"{"do":"evacuate","zone":"south-a"}"#, 0, vec!["acknowledged"]),
         (vec!["retire", "zz"], "", 1, vec!["16 hexadecimal digits"]),
     ];
     for (args, input, code, wanted) in cases {
@@ -283,7 +439,10 @@
         .expect("it turns");
     }
     let (engine, _) = whole(door, &prompt("j-1", "cleo-key-0003", "hello")).await;
-    assert_eq!(engine, "engine-2", "the other engine of the cell is drained");
+    assert_eq!(
+        engine, "engine-2",
+        "the other engine of the cell is drained"
+    );
     let (code, found) = operator(&["key-drop", "--wait", "20"], "cleo-key-0003\n");
     assert_eq!(code, Some(0), "{found}");
     assert_eq!(
--- a/testbed/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -2,11 +2,11 @@
 #![allow(dead_code)] // Each test program uses its own part.
 
 use simd_json::prelude::*;
-use testbed::caller::{call, Call, Seen};
-use testbed::fleet::{wait, Fleet, Kind, Shape};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
+use testbed::caller::{call, Call, Seen};
+use testbed::fleet::{wait, Fleet, Kind, Shape};
 
 pub const SHAPE: &str = r#"{
   "name": "small",
@@ -58,14 +58,19 @@
         id: id.into(),
         method: "POST".into(),
         target: "/app/write".into(),
-        headers: vec![("x-tenant-key".into(), key.into()), ("x-model".into(), "writer".into())],
+        headers: vec![
+            ("x-tenant-key".into(), key.into()),
+            ("x-model".into(), "writer".into()),
+        ],
         body: format!(r#"{{"prompt":"{text}"}}"#).into_bytes(),
     }
 }
 
 pub async fn whole(door: SocketAddr, job: &Call) -> (String, bool) {
     match call(door, job, Duration::from_secs(20)).await {
-        Seen::Whole { engine, is_warm, .. } => (engine, is_warm),
+        Seen::Whole {
+            engine, is_warm, ..
+        } => (engine, is_warm),
         other => panic!("{}: {other:?}", job.id),
     }
 }
@@ -91,7 +96,12 @@
 /// A refusal's status, outcome and code.
 pub async fn refused(door: SocketAddr, job: &Call) -> (u16, String, String) {
     match call(door, job, Duration::from_secs(20)).await {
-        Seen::Refused { status, outcome, code, .. } => (status, outcome, code),
+        Seen::Refused {
+            status,
+            outcome,
+            code,
+            ..
+        } => (status, outcome, code),
         other => panic!("{}: {other:?}", job.id),
     }
 }
@@ -106,8 +116,12 @@
     for engine in fleet.of(Kind::Engine) {
         let path = fleet.journals().join(format!("{}.jsonl", engine.name));
         for line in testbed::journal::read(&path).expect("a journal reads") {
-            let text =
-                |name: &str| line.get(name).and_then(|v| v.as_str()).unwrap_or("").to_string();
+            let text = |name: &str| {
+                line.get(name)
+                    .and_then(|v| v.as_str())
+                    .unwrap_or("")
+                    .to_string()
+            };
             if text("job") == job {
                 let at = line.get("at").and_then(|v| v.as_u64()).unwrap_or(0);
                 events.push((at, text("event")));
@@ -156,7 +170,10 @@
 pub async fn noted(fleet: &Fleet, job: &str, beginning: &str) {
     wait(PATIENCE, beginning, async || {
         let events = events_of(fleet, job);
-        anyhow::ensure!(events.iter().any(|event| event.starts_with(beginning)), "{events:?}");
+        anyhow::ensure!(
+            events.iter().any(|event| event.starts_with(beginning)),
+            "{events:?}"
+        );
         Ok(())
     })
     .await
--- a/testbed/tests/cut_leader.rs
+++ b/testbed/tests/cut_leader.rs
@@ -6,12 +6,12 @@
 
 use common::*;
 use nix::sys::signal::Signal;
+use protocol::{Answer, Frame, Front, FrontDemand, Header, JobHead};
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
-use testbed::fleet::{wait, Fleet, Kind, Process};
 use std::net::SocketAddr;
 use std::time::Duration;
-use protocol::{Answer, Frame, Front, FrontDemand, Header, JobHead};
+use testbed::fleet::{wait, Fleet, Kind, Process};
 use transport::{link, web};
 
 const ANA: &str = "ana-key-0001";
@@ -23,23 +23,37 @@
     path: &str,
     body: &OwnedValue,
 ) -> anyhow::Result<(u16, OwnedValue)> {
-    let text = if body.is_null() { String::new() } else { body.encode() };
+    let text = if body.is_null() {
+        String::new()
+    } else {
+        body.encode()
+    };
     let patience = Duration::from_secs(12);
     let (status, bytes) = web::ask(desk, method, path, &[], text.into(), patience).await?;
     let text = String::from_utf8_lossy(&bytes).into_owned();
-    Ok((status, residency::parse_text(&text).map_err(anyhow::Error::msg)?))
+    Ok((
+        status,
+        residency::parse_text(&text).map_err(anyhow::Error::msg)?,
+    ))
 }
 
 async fn get(desk: SocketAddr, path: &str) -> (u16, OwnedValue) {
-    call_desk(desk, "GET", path, &OwnedValue::null()).await.expect("it answers")
+    call_desk(desk, "GET", path, &OwnedValue::null())
+        .await
+        .expect("it answers")
 }
 
 async fn submit(desk: SocketAddr, body: OwnedValue) -> (u16, OwnedValue) {
-    call_desk(desk, "POST", "/submit", &body).await.expect("it answers")
+    call_desk(desk, "POST", "/submit", &body)
+        .await
+        .expect("it answers")
 }
 
 fn number(value: &OwnedValue, field: &str) -> u64 {
-    value.get(field).and_then(|value| value.as_u64()).unwrap_or(0)
+    value
+        .get(field)
+        .and_then(|value| value.as_u64())
+        .unwrap_or(0)
 }
 
 fn is_set(value: &OwnedValue, field: &str) -> bool {
@@ -47,13 +61,21 @@
 }
 
 fn names(fleet: &Fleet, kind: Kind) -> Vec<String> {
-    fleet.of(kind).iter().map(|process| process.name.clone()).collect()
+    fleet
+        .of(kind)
+        .iter()
+        .map(|process| process.name.clone())
+        .collect()
 }
 
 async fn leader_but(fleet: &Fleet, cut: &str) -> String {
     let mut found = String::new();
     wait(PATIENCE, "another leader", async || {
-        for node in fleet.of(Kind::Directory).iter().filter(|node| node.name != cut) {
+        for node in fleet
+            .of(Kind::Directory)
+            .iter()
+            .filter(|node| node.name != cut)
+        {
             if is_set(&get(node.desk(), "/status").await.1, "leads") {
                 found = node.name.clone();
                 return Ok(());
@@ -68,7 +90,10 @@
 
 async fn is_no_longer_recent(desk: SocketAddr) {
     wait(PATIENCE, "the end of its lease", async || {
-        anyhow::ensure!(!is_set(&get(desk, "/vitals").await.1, "recent"), "it is recent");
+        anyhow::ensure!(
+            !is_set(&get(desk, "/vitals").await.1, "recent"),
+            "it is recent"
+        );
         Ok(())
     })
     .await
@@ -80,7 +105,9 @@
 async fn serves_no_operator(desk: SocketAddr, mark: &str) {
     let order = |name: &str, order: OwnedValue| {
         let mut order = order;
-        order.insert("id", format!("{mark}-{name}")).expect("an object");
+        order
+            .insert("id", format!("{mark}-{name}"))
+            .expect("an object");
         submit(desk, order)
     };
     // All at once: at first the node may still believe that it leads.
@@ -90,7 +117,10 @@
         order("back", json!({ "do": "give-back", "zone": "south-a" })),
         // By what this node knows there is no such zone; the others know it.
         order("unknown", json!({ "do": "evacuate", "zone": "east-a" })),
-        order("based", json!({ "do": "evacuate", "zone": "north-a", "base": 1 })),
+        order(
+            "based",
+            json!({ "do": "evacuate", "zone": "north-a", "base": 1 })
+        ),
     );
     for (status, answer) in [book, taken, back, unknown, based] {
         assert_eq!(status, 503, "{mark}: {answer}");
@@ -104,12 +134,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_off_leader_serves_no_operator() {
     let (_folder, mut fleet) = up_with_relays("cut-leader").await;
-    for (round, (outward, inward)) in
-        [(true, true), (true, false), (false, true)].into_iter().enumerate()
+    for (round, (outward, inward)) in [(true, true), (true, false), (false, true)]
+        .into_iter()
+        .enumerate()
     {
         let old = fleet.leader().await.expect("somebody leads");
         let desk = fleet.get(&old).desk();
-        fleet.cut(std::slice::from_ref(&old), outward, inward).expect("it is cut");
+        fleet
+            .cut(std::slice::from_ref(&old), outward, inward)
+            .expect("it is cut");
         // At once, while it may still believe that it leads.
         serves_no_operator(desk, &format!("first-{round}")).await;
 
@@ -127,7 +160,10 @@
         fleet.start(&old).expect("it starts");
         wait(PATIENCE, "its desk", async || {
             let (_, vitals) = call_desk(desk, "GET", "/vitals", &OwnedValue::null()).await?;
-            assert!(!is_set(&vitals, "recent"), "a new process has no lease: {vitals}");
+            assert!(
+                !is_set(&vitals, "recent"),
+                "a new process has no lease: {vitals}"
+            );
             Ok(())
         })
         .await
@@ -138,7 +174,10 @@
         wait(PATIENCE, "the document that the others hold", async || {
             let (status, book) = get(desk, "/book").await;
             anyhow::ensure!(status == 200, "{status}: {book}");
-            assert!(number(&book, "epoch") >= epoch, "it handed out an old document: {book}");
+            assert!(
+                number(&book, "epoch") >= epoch,
+                "it handed out an old document: {book}"
+            );
             assert!(book.encode().contains(&zone), "{book}");
             Ok(())
         })
@@ -174,8 +213,10 @@
     .await
     .expect("an entry decides");
 
-    let followers: Vec<String> =
-        names(&fleet, Kind::Directory).into_iter().filter(|name| *name != leader).collect();
+    let followers: Vec<String> = names(&fleet, Kind::Directory)
+        .into_iter()
+        .filter(|name| *name != leader)
+        .collect();
     for name in &followers {
         fleet.signal(name, Signal::SIGSTOP).expect("it freezes");
     }
@@ -203,11 +244,20 @@
     let cut = fleet.leader().await.expect("somebody leads");
     let (desk, address) = (fleet.get(&cut).desk(), fleet.get(&cut).address());
 
-    let dial = async |kind| link::dial(source, address, kind, "probe").await.expect("it listens");
+    let dial = async |kind| {
+        link::dial(source, address, kind, "probe")
+            .await
+            .expect("it listens")
+    };
     let mut job = dial(protocol::Kind::Job).await;
-    let welcome = link::receive(&mut job, protocol::CAP).await.expect("a frame");
+    let welcome = link::receive(&mut job, protocol::CAP)
+        .await
+        .expect("a frame");
     assert_eq!(welcome, Some(Frame::Welcome));
-    let header = |name: &str, value: &str| Header { name: name.into(), value: value.into() };
+    let header = |name: &str, value: &str| Header {
+        name: name.into(),
+        value: value.into(),
+    };
     let head = JobHead {
         id: "under-way".into(),
         method: "POST".into(),
@@ -218,18 +268,38 @@
         left_ms: 30_000,
         is_charged: 1,
     };
-    link::send(&mut job, &Frame::Job(head)).await.expect("it is sent");
+    link::send(&mut job, &Frame::Job(head))
+        .await
+        .expect("it is sent");
 
     let network = fleet.network.as_ref().expect("it has relays");
-    for other in fleet.of(Kind::Directory).iter().filter(|other| other.name != cut) {
-        network.cut([(fleet.get(&cut).ip, other.ip), (other.ip, fleet.get(&cut).ip)]);
+    for other in fleet
+        .of(Kind::Directory)
+        .iter()
+        .filter(|other| other.name != cut)
+    {
+        network.cut([
+            (fleet.get(&cut).ip, other.ip),
+            (other.ip, fleet.get(&cut).ip),
+        ]);
     }
     is_no_longer_recent(desk).await;
 
-    link::send(&mut job, &Frame::Body(br#"{"prompt":"x"}"#.to_vec())).await.expect("it is sent");
-    link::send(&mut job, &Frame::BodyEnd).await.expect("it is sent");
-    match link::receive(&mut job, protocol::CAP).await.expect("a frame") {
-        Some(Frame::Declined { code, not_run: true, .. }) => assert_eq!(code, "no-lease"),
+    link::send(&mut job, &Frame::Body(br#"{"prompt":"x"}"#.to_vec()))
+        .await
+        .expect("it is sent");
+    link::send(&mut job, &Frame::BodyEnd)
+        .await
+        .expect("it is sent");
+    match link::receive(&mut job, protocol::CAP)
+        .await
+        .expect("a frame")
+    {
+        Some(Frame::Declined {
+            code,
+            not_run: true,
+            ..
+        }) => assert_eq!(code, "no-lease"),
         other => panic!("a job is mapped by old state: {other:?}"),
     }
 
@@ -240,9 +310,14 @@
         service: "writer".into(),
         region: "north".into(),
     };
-    link::send(&mut session, &resolve).await.expect("it is sent");
+    link::send(&mut session, &resolve)
+        .await
+        .expect("it is sent");
     loop {
-        match link::receive(&mut session, protocol::CAP).await.expect("a frame") {
+        match link::receive(&mut session, protocol::CAP)
+            .await
+            .expect("a frame")
+        {
             Some(Frame::Resolved { answer, .. }) => break assert_eq!(answer, Answer::Later),
             Some(Frame::Lease { .. }) => panic!("it gives a lease"),
             Some(_) => {}
@@ -276,16 +351,28 @@
 async fn a_node_that_was_cut_off_names_no_router_that_is_gone() {
     let (_folder, fleet) = up_with_relays("late").await;
     // Late is what was sent on connections that lease_grace the cut.
-    fleet.network.as_ref().expect("it has relays").drop_new_connections();
+    fleet
+        .network
+        .as_ref()
+        .expect("it has relays")
+        .drop_new_connections();
     names_no_router_that_is_gone(fleet, Silence::Cut).await;
 }
 
 /// The control node of a router's session, by its address.
 async fn session_of(fleet: &Fleet, router: &str) -> anyhow::Result<String> {
-    let vitals =
-        call_desk(fleet.get(router).desk(), "GET", "/vitals", &OwnedValue::null()).await?.1;
+    let vitals = call_desk(
+        fleet.get(router).desk(),
+        "GET",
+        "/vitals",
+        &OwnedValue::null(),
+    )
+    .await?
+    .1;
     let address = vitals.get("session").and_then(|address| address.as_str());
-    address.map(String::from).ok_or(anyhow::anyhow!("it has no session: {vitals}"))
+    address
+        .map(String::from)
+        .ok_or(anyhow::anyhow!("it has no session: {vitals}"))
 }
 
 /// What a router that tries this node sends: the kernel takes the connection and
@@ -312,7 +399,9 @@
         age_ms: 1_000,
         demands: Vec::new(),
     };
-    link::send(&mut stream, &Frame::Beat { front, demand }).await.expect("the kernel takes it");
+    link::send(&mut stream, &Frame::Beat { front, demand })
+        .await
+        .expect("the kernel takes it");
 }
 
 /// Starts a router anew until its session is with a follower: one with the leader
@@ -339,7 +428,12 @@
     };
     let is_first = |node: &&&Process| node.address().to_string() == first;
     let nodes = fleet.of(Kind::Directory);
-    let node = nodes.iter().find(is_first).expect("one of the nodes").name.clone();
+    let node = nodes
+        .iter()
+        .find(is_first)
+        .expect("one of the nodes")
+        .name
+        .clone();
     match silence {
         Silence::Frozen => fleet.signal(&node, Signal::SIGSTOP),
         Silence::Cut => fleet.cut(std::slice::from_ref(&node), true, true),
@@ -359,11 +453,17 @@
     fleet.kill(gone);
 
     let desk = fleet.get(&node).desk();
-    let others: Vec<SocketAddr> =
-        fleet.desks().into_iter().filter(|other| *other != desk).collect();
+    let others: Vec<SocketAddr> = fleet
+        .desks()
+        .into_iter()
+        .filter(|other| *other != desk)
+        .collect();
     let names_it = async |desk: SocketAddr| {
         let (_, status) = get(desk, "/status").await;
-        let routers = status.get("routers").and_then(|list| list.as_array()).expect("a list");
+        let routers = status
+            .get("routers")
+            .and_then(|list| list.as_array())
+            .expect("a list");
         let is_it =
             |router: &OwnedValue| router.get("name").and_then(|name| name.as_str()) == Some(gone);
         let is_named = routers.iter().any(is_it);
@@ -389,7 +489,10 @@
     let mut looks = 0;
     wait(PATIENCE, "looks at all nodes", async || {
         for desk in fleet.desks() {
-            assert!(!names_it(desk).await, "a router that is gone is named again at {desk}");
+            assert!(
+                !names_it(desk).await,
+                "a router that is gone is named again at {desk}"
+            );
         }
         looks += usize::from(is_set(&get(desk, "/vitals").await.1, "recent"));
         anyhow::ensure!(looks > 20, "{looks}");
--- a/testbed/tests/cuts.rs
+++ b/testbed/tests/cuts.rs
@@ -6,10 +6,10 @@
 use simd_json::json;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use testbed::caller::{call, Seen};
-use testbed::fleet::{ask, wait, Fleet, Kind};
 use std::net::SocketAddr;
 use std::time::Duration;
+use testbed::caller::{call, Seen};
+use testbed::fleet::{ask, wait, Fleet, Kind};
 
 const BEN: &str = "ben-key-0002";
 
@@ -21,7 +21,11 @@
 async fn another_leader(fleet: &Fleet, cut: &str) -> String {
     let mut found = String::new();
     wait(PATIENCE, "another leader", async || {
-        for node in fleet.of(Kind::Directory).iter().filter(|node| node.name != cut) {
+        for node in fleet
+            .of(Kind::Directory)
+            .iter()
+            .filter(|node| node.name != cut)
+        {
             let status = status(node.desk()).await?;
             if status.get("leads").and_then(|v| v.as_bool()) == Some(true) {
                 found = node.name.clone();
@@ -42,11 +46,14 @@
     let (_folder, fleet) = up_with_relays("cut").await;
     let door = fleet.get("router-3").door();
     served(door, BEN, "before").await;
-    for (round, (outward, inward)) in
-        [(true, true), (true, false), (false, true)].into_iter().enumerate()
+    for (round, (outward, inward)) in [(true, true), (true, false), (false, true)]
+        .into_iter()
+        .enumerate()
     {
         let leader = fleet.leader().await.expect("somebody leads");
-        fleet.cut(std::slice::from_ref(&leader), outward, inward).expect("it is cut");
+        fleet
+            .cut(std::slice::from_ref(&leader), outward, inward)
+            .expect("it is cut");
         another_leader(&fleet, &leader).await;
         let old = fleet.get(&leader).desk();
         wait(PATIENCE, "its stepping down", async || {
@@ -60,17 +67,30 @@
             json!({ "do": "key", "tenant": "ben", "key": format!("ben-key-more-{round}") });
         if outward && inward {
             let mut change = change.clone();
-            change.insert("id", format!("minority-{round}")).expect("an object");
+            change
+                .insert("id", format!("minority-{round}"))
+                .expect("an object");
             let error = ask(old, "POST", "/submit", &change).await;
             let error = error.expect_err("a minority refuses").to_string();
             assert!(error.contains("503"), "{error}");
         }
         let mut epoch = 0;
-        for node in fleet.of(Kind::Directory).iter().filter(|node| node.name != leader) {
+        for node in fleet
+            .of(Kind::Directory)
+            .iter()
+            .filter(|node| node.name != leader)
+        {
             let mut change = change.clone();
-            change.insert("id", format!("change-{round}")).expect("an object");
-            let answer = ask(node.desk(), "POST", "/submit", &change).await.expect("it is taken");
-            epoch = answer.get("epoch").and_then(|v| v.as_u64()).expect("an epoch");
+            change
+                .insert("id", format!("change-{round}"))
+                .expect("an object");
+            let answer = ask(node.desk(), "POST", "/submit", &change)
+                .await
+                .expect("it is taken");
+            epoch = answer
+                .get("epoch")
+                .and_then(|v| v.as_u64())
+                .expect("an epoch");
         }
         served(door, BEN, &format!("cut-{round}")).await;
         fleet.network.as_ref().expect("it has relays").heal();
@@ -91,14 +111,18 @@
     let (_folder, fleet) = up_with_relays("dark").await;
     let door = fleet.get("router-1").door();
     served(door, BEN, "before").await;
-    fleet.cut(&["router-1".to_string()], true, true).expect("it is cut");
+    fleet
+        .cut(&["router-1".to_string()], true, true)
+        .expect("it is cut");
     is_refused(door, BEN, "cut", "no-lease").await;
     served(fleet.get("router-3").door(), BEN, "elsewhere").await;
     fleet.network.as_ref().expect("it has relays").heal();
     served(door, BEN, "again").await;
 
     // The south's engine goes dark; the north is among ben's homes.
-    fleet.cut(&["engine-3".to_string()], true, true).expect("it is cut");
+    fleet
+        .cut(&["engine-3".to_string()], true, true)
+        .expect("it is cut");
     let mut round = 0;
     wait(PATIENCE, "the other home", async || {
         round += 1;
@@ -114,6 +138,13 @@
     .expect("it spills within its homes");
     for n in 1..=round {
         let begun = events_of(&fleet, &format!("d-{n}"));
-        assert!(begun.iter().filter(|event| event.starts_with("begun")).count() <= 1, "{begun:?}");
+        assert!(
+            begun
+                .iter()
+                .filter(|event| event.starts_with("begun"))
+                .count()
+                <= 1,
+            "{begun:?}"
+        );
     }
 }
--- a/testbed/tests/day.rs
+++ b/testbed/tests/day.rs
@@ -5,8 +5,8 @@
 
 use common::*;
 use simd_json::prelude::*;
-use testbed::{day, replay};
 use std::collections::BTreeSet;
+use testbed::{day, replay};
 
 const MIX: &str = r#","mix":[
   {"per_second":30,"service":"writer","method":"POST","target":"/app/write","once":true,
@@ -30,20 +30,48 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_short_day_breaks_no_rule() {
     let (folder, mut fleet) = up("day").await;
-    let shape = SHAPE.trim_end().strip_suffix('}').expect("an object").to_string() + MIX;
+    let shape = SHAPE
+        .trim_end()
+        .strip_suffix('}')
+        .expect("an object")
+        .to_string()
+        + MIX;
     let moments = day::make(&shape, None, 8, 1.0, 11).expect("the mix reads");
     let ends = replay::Ends::of(&fleet);
-    replay::play(ends, Some(&mut fleet), moments, &folder.0).await.expect("it is played");
+    replay::play(ends, Some(&mut fleet), moments, &folder.0)
+        .await
+        .expect("it is played");
     let (journals, findings) = replay::judge(&fleet, &folder.0).expect("the journals read");
-    let summary = replay::summary(&fleet, &journals).await.expect("counters are told");
+    let summary = replay::summary(&fleet, &journals)
+        .await
+        .expect("counters are told");
     assert!(findings.is_empty(), "{findings:#?}\n{summary}");
     let acknowledged = |line: &&simd_json::OwnedValue| line.get("acknowledged").is_some();
-    assert_eq!(journals.operators.iter().filter(acknowledged).count(), 6, "{summary}");
+    assert_eq!(
+        journals.operators.iter().filter(acknowledged).count(),
+        6,
+        "{summary}"
+    );
     let text = |line: &simd_json::OwnedValue, name: &str| {
-        line.get(name).and_then(|v| v.as_str()).unwrap_or("").to_string()
+        line.get(name)
+            .and_then(|v| v.as_str())
+            .unwrap_or("")
+            .to_string()
     };
-    let roots: BTreeSet<String> = journals.callers.iter().map(|line| text(line, "root")).collect();
-    let whole = journals.callers.iter().filter(|line| text(line, "seen") == "whole").count();
+    let roots: BTreeSet<String> = journals
+        .callers
+        .iter()
+        .map(|line| text(line, "root"))
+        .collect();
+    let whole = journals
+        .callers
+        .iter()
+        .filter(|line| text(line, "seen") == "whole")
+        .count();
     // A checker that is handed nothing finds nothing.
-    assert!(whole * 2 > roots.len(), "{whole} of {}: {summary}", roots.len());
+    assert!(
+        whole * 2 > roots.len(),
+        "{whole} of {}: {summary}",
+        roots.len()
+    );
 }
--- a/testbed/tests/failures.rs
+++ b/testbed/tests/failures.rs
@@ -8,10 +8,10 @@
 use simd_json::json;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use testbed::caller::{call, Seen};
-use testbed::fleet::{ask, wait, Fleet, Kind};
 use std::net::SocketAddr;
 use std::time::Duration;
+use testbed::caller::{call, Seen};
+use testbed::fleet::{ask, wait, Fleet, Kind};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 const ANA: &str = "ana-key-0001";
@@ -19,12 +19,27 @@
 async fn voters(fleet: &Fleet, at: SocketAddr) -> anyhow::Result<Vec<(String, String)>> {
     let status = ask(at, "GET", "/status", &OwnedValue::null()).await?;
     let text = |value: &OwnedValue, name: &str| {
-        value.get(name).and_then(|v| v.as_str()).unwrap_or("").to_string()
+        value
+            .get(name)
+            .and_then(|v| v.as_str())
+            .unwrap_or("")
+            .to_string()
     };
-    let members = status.get("members").and_then(|v| v.as_array()).cloned().unwrap_or_default();
-    anyhow::ensure!(members.len() <= fleet.of(Kind::Directory).len(), "one too many");
+    let members = status
+        .get("members")
+        .and_then(|v| v.as_array())
+        .cloned()
+        .unwrap_or_default();
+    anyhow::ensure!(
+        members.len() <= fleet.of(Kind::Directory).len(),
+        "one too many"
+    );
     let is_voter = |member: &&OwnedValue| text(member, "kind") == "voter";
-    Ok(members.iter().filter(is_voter).map(|m| (text(m, "name"), text(m, "identity"))).collect())
+    Ok(members
+        .iter()
+        .filter(is_voter)
+        .map(|m| (text(m, "name"), text(m, "identity")))
+        .collect())
 }
 
 /// Guards: an acknowledged revision or evacuation is never lost; after
@@ -36,20 +51,31 @@
     served(door, ANA, "before").await;
     let leader = fleet.leader().await.expect("somebody leads");
     let evacuate = json!({ "do": "evacuate", "zone": "south-a", "id": "evacuation" });
-    let epoch = fleet.submit(evacuate.clone()).await.expect("it is acknowledged");
+    let epoch = fleet
+        .submit(evacuate.clone())
+        .await
+        .expect("it is acknowledged");
     fleet.kill(&leader);
     // The same proposal again, to whoever leads now, is known.
     assert_eq!(fleet.submit(evacuate.clone()).await.expect("known"), epoch);
     served(door, ANA, "led-anew").await;
 
-    let nodes: Vec<String> = fleet.of(Kind::Directory).iter().map(|n| n.name.clone()).collect();
+    let nodes: Vec<String> = fleet
+        .of(Kind::Directory)
+        .iter()
+        .map(|n| n.name.clone())
+        .collect();
     nodes.iter().for_each(|node| fleet.kill(node));
     // Guards: a router without a recent lease refuses, and says not-run.
     is_refused(door, ANA, "cut", "no-lease").await;
-    nodes.iter().for_each(|node| fleet.start(node).expect("it starts"));
+    nodes
+        .iter()
+        .for_each(|node| fleet.start(node).expect("it starts"));
     served(door, ANA, "back").await;
     assert_eq!(fleet.submit(evacuate).await.expect("still known"), epoch);
-    let status = ask(fleet.desks()[0], "GET", "/status", &OwnedValue::null()).await.expect("told");
+    let status = ask(fleet.desks()[0], "GET", "/status", &OwnedValue::null())
+        .await
+        .expect("told");
     let evacuated = status.get("evacuated").map(|list| list.encode());
     assert_eq!(evacuated.as_deref(), Some(r#"["south-a"]"#));
 }
@@ -60,8 +86,16 @@
 async fn a_disk_is_lost_and_a_minority_is_left() {
     let (_folder, mut fleet) = up("disk").await;
     let leader = fleet.leader().await.expect("somebody leads");
-    let names: Vec<String> = fleet.of(Kind::Directory).iter().map(|n| n.name.clone()).collect();
-    let lost = names.iter().find(|name| **name != leader).expect("three nodes").clone();
+    let names: Vec<String> = fleet
+        .of(Kind::Directory)
+        .iter()
+        .map(|n| n.name.clone())
+        .collect();
+    let lost = names
+        .iter()
+        .find(|name| **name != leader)
+        .expect("three nodes")
+        .clone();
     let desk = fleet.get(&leader).desk();
     let before = voters(&fleet, desk).await.expect("told");
     fleet.kill(&lost);
@@ -76,18 +110,28 @@
     .expect("it is a voter again");
     let after = voters(&fleet, desk).await.expect("told");
     let identity = |list: &[(String, String)]| {
-        list.iter().find(|(name, _)| *name == lost).map(|(_, identity)| identity.clone())
+        list.iter()
+            .find(|(name, _)| *name == lost)
+            .map(|(_, identity)| identity.clone())
     };
-    assert_ne!(identity(&before), identity(&after), "it came back under a new identity");
+    assert_ne!(
+        identity(&before),
+        identity(&after),
+        "it came back under a new identity"
+    );
 
     let others: Vec<&String> = names.iter().filter(|name| **name != lost).collect();
     others.iter().for_each(|name| fleet.kill(name));
     let alone = fleet.get(&lost).desk();
     let change = json!({ "do": "evacuate", "zone": "south-a", "id": "minority" });
-    let error = ask(alone, "POST", "/submit", &change).await.expect_err("a minority refuses");
+    let error = ask(alone, "POST", "/submit", &change)
+        .await
+        .expect_err("a minority refuses");
     assert!(error.to_string().contains("503"), "{error}");
     let others: Vec<String> = others.into_iter().cloned().collect();
-    others.iter().for_each(|name| fleet.start(name).expect("it starts"));
+    others
+        .iter()
+        .for_each(|name| fleet.start(name).expect("it starts"));
     fleet.submit(change).await.expect("a majority takes it");
     served(fleet.get("router-1").door(), ANA, "after").await;
 }
@@ -104,7 +148,10 @@
     let aside = fleet.folder.join("aside");
     std::fs::rename(&log, &aside).expect("its log goes");
     let change = json!({ "do": "evacuate", "zone": "south-a", "id": "over-a-broken-disk" });
-    let epoch = fleet.submit(change.clone()).await.expect("the others take it");
+    let epoch = fleet
+        .submit(change.clone())
+        .await
+        .expect("the others take it");
     wait(PATIENCE, "another leader", async || {
         let now = fleet.leader().await?;
         anyhow::ensure!(now != leader, "{now} still leads");
@@ -112,8 +159,13 @@
     })
     .await
     .expect("it steps down");
-    let error = ask(desk, "GET", "/vitals", &OwnedValue::null()).await.expect_err("it is not well");
-    assert!(error.to_string().contains("\"disk_stalled\":true"), "{error}");
+    let error = ask(desk, "GET", "/vitals", &OwnedValue::null())
+        .await
+        .expect_err("it is not well");
+    assert!(
+        error.to_string().contains("\"disk_stalled\":true"),
+        "{error}"
+    );
     served(fleet.get("router-1").door(), ANA, "meanwhile").await;
 
     fleet.kill(&leader);
@@ -135,11 +187,17 @@
 async fn a_damaged_segment_stops_its_node() {
     let (folder, mut fleet) = up("damage").await;
     let leader = fleet.leader().await.expect("somebody leads");
-    let node = fleet.of(Kind::Directory).iter().map(|n| n.name.clone()).find(|n| *n != leader);
+    let node = fleet
+        .of(Kind::Directory)
+        .iter()
+        .map(|n| n.name.clone())
+        .find(|n| *n != leader);
     let node = node.expect("three nodes");
     fleet.kill(&node);
     let log = folder.0.join("data").join(&node).join("log");
-    let first = std::fs::read_dir(&log).expect("its log").filter_map(|entry| entry.ok());
+    let first = std::fs::read_dir(&log)
+        .expect("its log")
+        .filter_map(|entry| entry.ok());
     let path = first.map(|entry| entry.path()).min().expect("a segment");
     let mut bytes = std::fs::read(&path).expect("it reads");
     bytes[20] ^= 1;
@@ -176,13 +234,18 @@
     let (_folder, fleet) = up("frozen").await;
     let door = fleet.get("router-1").door();
     served(door, ANA, "before").await;
-    fleet.signal("router-1", Signal::SIGSTOP).expect("it freezes");
+    fleet
+        .signal("router-1", Signal::SIGSTOP)
+        .expect("it freezes");
     // A job waits in the frozen router's socket.
     let waiting = tokio::spawn(async move {
         let job = prompt("late", "ana-key-0001", "once upon a time");
         call(door, &job, Duration::from_secs(60)).await
     });
-    fleet.submit(json!({ "do": "key-gone", "key": "ana-key-0001" })).await.expect("taken");
+    fleet
+        .submit(json!({ "do": "key-gone", "key": "ana-key-0001" }))
+        .await
+        .expect("taken");
     wait(PATIENCE, "its absence", async || {
         let status = ask(fleet.desks()[0], "GET", "/status", &OwnedValue::null()).await?;
         anyhow::ensure!(!status.encode().contains("router-1"), "it is still counted");
@@ -192,8 +255,14 @@
     .expect("the frozen router is missed");
     fleet.signal("router-1", Signal::SIGCONT).expect("it wakes");
     let seen = waiting.await.expect("the caller ends");
-    assert!(matches!(&seen, Seen::Refused { outcome, .. } if outcome == "not-run"), "{seen:?}");
-    assert!(events_of(&fleet, "late").is_empty(), "nothing reached an engine");
+    assert!(
+        matches!(&seen, Seen::Refused { outcome, .. } if outcome == "not-run"),
+        "{seen:?}"
+    );
+    assert!(
+        events_of(&fleet, "late").is_empty(),
+        "nothing reached an engine"
+    );
     is_refused(door, ANA, "after", "unknown-key").await;
 }
 
@@ -223,7 +292,13 @@
         _ => false,
     };
     assert!(is_visible, "{seen:?}");
-    assert_eq!(events_of(&fleet, "broken").iter().filter(|e| e.starts_with("begun")).count(), 1);
+    assert_eq!(
+        events_of(&fleet, "broken")
+            .iter()
+            .filter(|e| e.starts_with("begun"))
+            .count(),
+        1
+    );
     // With all engines of the only home gone, refusals are not-run.
     is_refused(door, ANA, "none", "no-engine").await;
     for name in ["engine-1", "engine-2"] {
@@ -242,7 +317,13 @@
     let unknown = (409, "unknown".to_string(), "job-under-way".to_string());
     assert_eq!(refused(door, &job).await, unknown);
     assert!(matches!(first.await.expect("it ends"), Seen::Whole { .. }));
-    assert_eq!(events_of(&fleet, "again").iter().filter(|e| e.starts_with("begun")).count(), 1);
+    assert_eq!(
+        events_of(&fleet, "again")
+            .iter()
+            .filter(|e| e.starts_with("begun"))
+            .count(),
+        1
+    );
 
     let job = prompt("left", "ana-key-0001", "a long story");
     let leaving = tokio::spawn(async move { call(door, &job, Duration::from_secs(30)).await });
@@ -268,8 +349,16 @@
         name: "from-tomorrow".into(),
     });
     for to in [router.address(), node.address()] {
-        for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[255; 64], &[0, 0, 0, 0], &hello, &other] {
-            let mut stream = tokio::net::TcpStream::connect(to).await.expect("it listens");
+        for bytes in [
+            &b"GET / HTTP/1.1\r\n\r\n"[..],
+            &[255; 64],
+            &[0, 0, 0, 0],
+            &hello,
+            &other,
+        ] {
+            let mut stream = tokio::net::TcpStream::connect(to)
+                .await
+                .expect("it listens");
             stream.write_all(bytes).await.expect("it is sent");
             let mut answer = Vec::new();
             // The other side closes, in peace or with a reset.
@@ -285,11 +374,18 @@
         }
     }
     for to in [router.door(), node.desk(), router.desk()] {
-        let mut stream = tokio::net::TcpStream::connect(to).await.expect("it listens");
-        stream.write_all(&[0, 159, 146, 150, b'\n', b'\n']).await.expect("it is sent");
+        let mut stream = tokio::net::TcpStream::connect(to)
+            .await
+            .expect("it listens");
+        stream
+            .write_all(&[0, 159, 146, 150, b'\n', b'\n'])
+            .await
+            .expect("it is sent");
         let mut answer = Vec::new();
         drop(
-            tokio::time::timeout(PATIENCE, stream.read_to_end(&mut answer)).await.expect("closed"),
+            tokio::time::timeout(PATIENCE, stream.read_to_end(&mut answer))
+                .await
+                .expect("closed"),
         );
     }
     served(router.door(), ANA, "after").await;
@@ -302,13 +398,20 @@
     let (_folder, fleet) = up("key").await;
     let door = fleet.get("router-1").door();
     served(door, ANA, "before").await;
-    let mut stream = tokio::net::TcpStream::connect(door).await.expect("it listens");
+    let mut stream = tokio::net::TcpStream::connect(door)
+        .await
+        .expect("it listens");
     let head = "POST /app/write HTTP/1.1\r\nhost: x\r\nx-rushport-job: slow\r\n\
                 x-tenant-key: ana-key-0001\r\nx-model: writer\r\ncontent-length: 19\r\n\r\n{\"prompt\"";
     stream.write_all(head.as_bytes()).await.expect("it is sent");
     wait(PATIENCE, "the job", async || {
-        let vitals =
-            ask(fleet.get("router-1").desk(), "GET", "/vitals", &OwnedValue::null()).await?;
+        let vitals = ask(
+            fleet.get("router-1").desk(),
+            "GET",
+            "/vitals",
+            &OwnedValue::null(),
+        )
+        .await?;
         let under_way = vitals.get("under_way").and_then(|v| v.as_u64());
         anyhow::ensure!(under_way == Some(1), "{under_way:?}");
         Ok(())
@@ -322,8 +425,14 @@
     let mut answer = vec![0; 1024];
     let length = stream.read(&mut answer).await.expect("it answers");
     let answer = String::from_utf8_lossy(&answer[..length]).into_owned();
-    assert!(answer.starts_with("HTTP/1.1 401") && answer.contains("not-run"), "{answer}");
-    assert!(events_of(&fleet, "slow").is_empty(), "nothing reached an engine");
+    assert!(
+        answer.starts_with("HTTP/1.1 401") && answer.contains("not-run"),
+        "{answer}"
+    );
+    assert!(
+        events_of(&fleet, "slow").is_empty(),
+        "nothing reached an engine"
+    );
 }
 
 /// Orderly stop: what runs is finished, new jobs are refused.
--- a/testbed/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -5,9 +5,9 @@
 use common::*;
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
+use std::time::Duration;
 use testbed::caller::{call, Call, Seen};
 use testbed::fleet::{ask, wait, Fleet, Kind, Shape};
-use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 #[tokio::test(flavor = "multi_thread")]
@@ -17,7 +17,11 @@
     let count = async |kind, name: &str| fleet.count(kind, name).await.expect("counters are told");
 
     let (first, _) = whole(door, &prompt("j-1", "ana-key-0001", "once upon a time")).await;
-    assert_eq!(count(Kind::Router, "forwards").await, 1, "the first is a miss");
+    assert_eq!(
+        count(Kind::Router, "forwards").await,
+        1,
+        "the first is a miss"
+    );
     assert_eq!(count(Kind::Directory, "jobs-forwarded").await, 1);
     let resolves = count(Kind::Directory, "resolves").await;
     for n in 2..12 {
@@ -26,12 +30,27 @@
         assert_eq!(engine, first, "the prefix keeps to its engine");
         assert!(is_warm);
     }
-    assert_eq!(count(Kind::Router, "own-fresh").await, 10, "the rest are fresh hits");
-    assert_eq!(count(Kind::Directory, "jobs-forwarded").await, 1, "no directory call for a hit");
-    assert_eq!(count(Kind::Directory, "resolves").await, resolves, "nor a question");
+    assert_eq!(
+        count(Kind::Router, "own-fresh").await,
+        10,
+        "the rest are fresh hits"
+    );
+    assert_eq!(
+        count(Kind::Directory, "jobs-forwarded").await,
+        1,
+        "no directory call for a hit"
+    );
+    assert_eq!(
+        count(Kind::Directory, "resolves").await,
+        resolves,
+        "nor a question"
+    );
 
     // The other router of the region has it from the shared layer.
-    fleet.shared(1).await.expect("the mapping is in the shared layer");
+    fleet
+        .shared(1)
+        .await
+        .expect("the mapping is in the shared layer");
     let other = fleet.get("router-2").door();
     whole(other, &prompt("j-20", "ana-key-0001", "once upon a time")).await;
     assert_eq!(count(Kind::Router, "shared-fresh").await, 1);
@@ -57,19 +76,38 @@
     };
     whole(door, &thumb).await;
 
-    assert_eq!(refused(door, &prompt("j-40", "nobody", "x")).await, not_run(401, "unknown-key"));
+    assert_eq!(
+        refused(door, &prompt("j-40", "nobody", "x")).await,
+        not_run(401, "unknown-key")
+    );
     // Guards: a prompt with a home never leaves it. Pictures are served in the
     // south alone, and ana lives in the north.
-    let away = Call { target: "/shop/ana-key-0001/p.png".into(), id: "j-41".into(), ..thumb };
+    let away = Call {
+        target: "/shop/ana-key-0001/p.png".into(),
+        id: "j-41".into(),
+        ..thumb
+    };
     assert_eq!(refused(door, &away).await, not_run(503, "no-place"));
 
     // Evacuating the only home leaves nowhere to go.
-    let epoch = fleet.submit(json!({ "do": "evacuate", "zone": "north-a" })).await.expect("taken");
-    fleet.in_force(epoch, Duration::from_secs(20)).await.expect("in force");
+    let epoch = fleet
+        .submit(json!({ "do": "evacuate", "zone": "north-a" }))
+        .await
+        .expect("taken");
+    fleet
+        .in_force(epoch, Duration::from_secs(20))
+        .await
+        .expect("in force");
     let (status, outcome, _) = refused(door, &prompt("j-50", "ana-key-0001", "x")).await;
     assert_eq!((status, outcome.as_str()), (503, "not-run"));
-    let epoch = fleet.submit(json!({ "do": "give-back", "zone": "north-a" })).await.expect("taken");
-    fleet.in_force(epoch, Duration::from_secs(20)).await.expect("in force");
+    let epoch = fleet
+        .submit(json!({ "do": "give-back", "zone": "north-a" }))
+        .await
+        .expect("taken");
+    fleet
+        .in_force(epoch, Duration::from_secs(20))
+        .await
+        .expect("in force");
     whole(door, &prompt("j-51", "ana-key-0001", "once upon a time")).await;
 }
 
@@ -91,22 +129,39 @@
         .into_bytes(),
     };
     whole(door, &form("j-1", 200_000)).await;
-    assert_eq!(fleet.count(Kind::Router, "unkeyed").await.expect("counters"), 1);
-    assert_eq!(refused(door, &form("j-2", 1_200_000)).await, not_run(401, "no-key"));
+    assert_eq!(
+        fleet
+            .count(Kind::Router, "unkeyed")
+            .await
+            .expect("counters"),
+        1
+    );
+    assert_eq!(
+        refused(door, &form("j-2", 1_200_000)).await,
+        not_run(401, "no-key")
+    );
     // Announced as too long, it is refused before a byte of it is read.
-    let mut stream = tokio::net::TcpStream::connect(door).await.expect("it listens");
+    let mut stream = tokio::net::TcpStream::connect(door)
+        .await
+        .expect("it listens");
     let head = "POST /form/write HTTP/1.1\r\nhost: x\r\ncontent-length: 17000000\r\n\r\n";
     stream.write_all(head.as_bytes()).await.expect("it is sent");
     let mut answer = vec![0; 1024];
     let length = stream.read(&mut answer).await.expect("it answers");
     let answer = String::from_utf8_lossy(&answer[..length]).into_owned();
-    assert!(answer.starts_with("HTTP/1.1 413") && answer.contains("not-run"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 413") && answer.contains("not-run"),
+        "{answer}"
+    );
     // A key in the head: the rest of a long body streams by.
     let mut long = prompt("j-4", "ana-key-0001", &"y".repeat(3_000_000));
     whole(door, &long).await;
     long.id = "j-5".into();
     whole(door, &long).await;
-    let bad = Call { body: b"{\"key\": nonsense".to_vec(), ..form("j-6", 0) };
+    let bad = Call {
+        body: b"{\"key\": nonsense".to_vec(),
+        ..form("j-6", 0)
+    };
     assert_eq!(refused(door, &bad).await, not_run(401, "no-key"));
     for job in ["j-2", "j-6"] {
         assert!(events_of(&fleet, job).is_empty(), "{job} reached an engine");
@@ -138,11 +193,18 @@
 
     // Stale at once: routed by what is known, refreshed behind, no forward.
     for n in 0..3 {
-        whole(door, &prompt(&format!("s-{n}"), "ana-key-0001", "once upon a time")).await;
+        whole(
+            door,
+            &prompt(&format!("s-{n}"), "ana-key-0001", "once upon a time"),
+        )
+        .await;
     }
     assert_eq!(count("forwards").await, 1);
     wait(Duration::from_secs(20), "a refresh", async || {
-        anyhow::ensure!(fleet.count(Kind::Router, "refreshes").await? >= 1, "none yet");
+        anyhow::ensure!(
+            fleet.count(Kind::Router, "refreshes").await? >= 1,
+            "none yet"
+        );
         Ok(())
     })
     .await
@@ -151,7 +213,10 @@
     // Never fresh: every job is forwarded. A node at its budget hands back.
     let change = json!({ "do": "move", "tenant": "ana", "service": "writer", "cell": "north-1" });
     let epoch = fleet.submit(change).await.expect("taken");
-    fleet.in_force(epoch, Duration::from_secs(20)).await.expect("in force");
+    fleet
+        .in_force(epoch, Duration::from_secs(20))
+        .await
+        .expect("in force");
     let jobs: Vec<_> = (0..4)
         .map(|n| {
             let job = prompt(&format!("m-{n}"), "ana-key-0001", &format!("a tale {n}"));
@@ -166,36 +231,51 @@
     // A deadline that passes at a frozen engine: it may have run. Where the
     // engines' silence was noticed first, it has not.
     for name in ["engine-1", "engine-2"] {
-        fleet.signal(name, nix::sys::signal::Signal::SIGSTOP).expect("it freezes");
+        fleet
+            .signal(name, nix::sys::signal::Signal::SIGSTOP)
+            .expect("it freezes");
     }
     let mut late = prompt("d-1", "ana-key-0001", "a long tale, with little time");
     late.headers.push(("x-deadline-ms".into(), "300".into()));
     let (status, outcome, code) = refused(door, &late).await;
     assert!(
-        matches!((status, outcome.as_str()), (504, "unknown") | (503 | 504, "not-run")),
+        matches!(
+            (status, outcome.as_str()),
+            (504, "unknown") | (503 | 504, "not-run")
+        ),
         "{status} {outcome} {code}"
     );
     for name in ["engine-1", "engine-2"] {
-        fleet.signal(name, nix::sys::signal::Signal::SIGCONT).expect("it wakes");
+        fleet
+            .signal(name, nix::sys::signal::Signal::SIGCONT)
+            .expect("it wakes");
     }
     served(door, "ana-key-0001", "again").await;
     if outcome == "not-run" {
-        assert!(events_of(&fleet, "d-1").iter().all(|event| !event.starts_with("begun")));
+        assert!(events_of(&fleet, "d-1")
+            .iter()
+            .all(|event| !event.starts_with("begun")));
     }
 
     // A body that does not come is given up, and reaches nobody.
-    let mut stream =
-        tokio::net::TcpStream::connect(fleet.get("router-2").door()).await.expect("up");
+    let mut stream = tokio::net::TcpStream::connect(fleet.get("router-2").door())
+        .await
+        .expect("up");
     let head = "POST /form/write HTTP/1.1\r\nhost: x\r\ncontent-length: 99\r\n\r\n{\"prompt\":";
     stream.write_all(head.as_bytes()).await.expect("it is sent");
     let mut answer = vec![0; 1024];
     let length = stream.read(&mut answer).await.expect("it answers");
     let answer = String::from_utf8_lossy(&answer[..length]).into_owned();
-    assert!(answer.starts_with("HTTP/1.1 408") && answer.contains("not-run"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 408") && answer.contains("not-run"),
+        "{answer}"
+    );
 
     // A router at its bound of jobs says so, and takes the next one after.
     let router = fleet.get("router-3");
-    let mut stream = tokio::net::TcpStream::connect(router.door()).await.expect("up");
+    let mut stream = tokio::net::TcpStream::connect(router.door())
+        .await
+        .expect("up");
     stream.write_all(head.as_bytes()).await.expect("it is sent");
     wait(PATIENCE, "the job", async || {
         let vitals = ask(router.desk(), "GET", "/vitals", &OwnedValue::null()).await?;
@@ -206,7 +286,10 @@
     .await
     .expect("it is under way");
     let second = prompt("f-1", "ben-key-0002", "x");
-    assert_eq!(refused(router.door(), &second).await, not_run(503, "router-full"));
+    assert_eq!(
+        refused(router.door(), &second).await,
+        not_run(503, "router-full")
+    );
     drop(stream);
     served(router.door(), "ben-key-0002", "f").await;
 
@@ -234,7 +317,11 @@
     } } });
     let epoch = fleet.submit(terms).await.expect("taken");
     fleet.in_force(epoch, PATIENCE).await.expect("in force");
-    let doors: Vec<_> = fleet.of(Kind::Router).iter().map(|router| router.door()).collect();
+    let doors: Vec<_> = fleet
+        .of(Kind::Router)
+        .iter()
+        .map(|router| router.door())
+        .collect();
     let begun = std::time::Instant::now();
     let mut jobs = tokio::task::JoinSet::new();
     for n in 0..60 {
@@ -265,7 +352,10 @@
     let most = 5 + begun.elapsed().as_secs() + 1;
     assert!(let_in <= most, "{let_in} of at most {most} were let in");
     // Those let in may have been on their way through the node that was killed.
-    assert!((1..60).contains(&refused), "{let_in} were let in, {refused} refused");
+    assert!(
+        (1..60).contains(&refused),
+        "{let_in} were let in, {refused} refused"
+    );
 }
 
 /// Guards: a tenant gets not much past its quota, also by jobs whose key lies so
@@ -307,6 +397,9 @@
         }
     }
     let most = 2 + begun.elapsed().as_secs() + 1;
-    assert!((1..=most).contains(&let_in), "{let_in} of at most {most} were let in");
+    assert!(
+        (1..=most).contains(&let_in),
+        "{let_in} of at most {most} were let in"
+    );
     assert_eq!(let_in + refused, 16);
 }
--- a/testbed/tests/gate.rs
+++ b/testbed/tests/gate.rs
@@ -20,7 +20,9 @@
 
 /// A raw engine: says these vitals, and keeps every byte of every job.
 async fn engine(line: &'static str) -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port");
     let address = listener.local_addr().expect("bound");
     let kept = Arc::new(Mutex::new(Vec::new()));
     let all = Arc::clone(&kept);
@@ -29,7 +31,9 @@
             let kept = Arc::clone(&all);
             tokio::spawn(async move {
                 let mut bytes = vec![0; 4096];
-                let Ok(length) = stream.read(&mut bytes).await else { return };
+                let Ok(length) = stream.read(&mut bytes).await else {
+                    return;
+                };
                 let text = String::from_utf8_lossy(&bytes[..length]).into_owned();
                 if text.starts_with("GET /vitals") {
                     let chunk = format!("{:x}\r\n{line}\r\n", line.len());
@@ -44,7 +48,9 @@
                 // All of it: what is left unread would turn the closing into a
                 // reset.
                 while !kept.lock().ends_with(b"}") {
-                    let Ok(length @ 1..) = stream.read(&mut bytes).await else { return };
+                    let Ok(length @ 1..) = stream.read(&mut bytes).await else {
+                        return;
+                    };
                     kept.lock().extend_from_slice(&bytes[..length]);
                 }
                 let answer = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
@@ -56,7 +62,10 @@
 }
 
 fn view(address: SocketAddr) -> View {
-    let place = |name: &str, within: &str| Place { name: name.into(), within: within.into() };
+    let place = |name: &str, within: &str| Place {
+        name: name.into(),
+        within: within.into(),
+    };
     let mut view = View::default();
     view.take(&residency::Event::Places {
         zones: vec![place("north-a", "north")],
@@ -104,10 +113,16 @@
     let cases: Vec<(&str, Change)> = vec![
         ("nothing", |_, _| {}),
         ("the key is gone", |views, _| {
-            after(|view| view.take(&residency::Event::KeyGone(Name("digest".into()))), views);
+            after(
+                |view| view.take(&residency::Event::KeyGone(Name("digest".into()))),
+                views,
+            );
         }),
         ("the zone is evacuated", |views, _| {
-            after(|view| view.take(&residency::Event::Evacuated(Name("north-a".into()))), views);
+            after(
+                |view| view.take(&residency::Event::Evacuated(Name("north-a".into()))),
+                views,
+            );
         }),
         ("the engine drains", |views, address| {
             let engine = Engine {
@@ -119,14 +134,22 @@
                 state: EngineState::Draining,
                 cold_ms: 0,
             };
-            after(|view| view.take(&residency::Event::Engine(engine.clone())), views);
+            after(
+                |view| view.take(&residency::Event::Engine(engine.clone())),
+                views,
+            );
         }),
         ("the engine is gone", |views, _| {
-            after(|view| view.take(&residency::Event::EngineGone(Name("engine-1".into()))), views);
+            after(
+                |view| view.take(&residency::Event::EngineGone(Name("engine-1".into()))),
+                views,
+            );
         }),
         ("its cell is in another region", |views, _| {
-            let place =
-                |name: &str, within: &str| Place { name: name.into(), within: within.into() };
+            let place = |name: &str, within: &str| Place {
+                name: name.into(),
+                within: within.into(),
+            };
             let places = residency::Event::Places {
                 zones: vec![place("north-a", "south")],
                 cells: vec![place("north-1", "north-a")],
@@ -186,7 +209,9 @@
                 aim_ms: 0,
             };
             let mut carried = Carried::new(Bytes::from_static(b"{\"prompt\":\"x\"}"), None);
-            let answer = dispatcher.dispatch(&mut job, &parts, &mut carried, &mapping, 7).await;
+            let answer = dispatcher
+                .dispatch(&mut job, &parts, &mut carried, &mapping, 7)
+                .await;
             let bytes = kept.lock().len();
             // A change after the second look comes too late: the look and the
             // handing over are one call.
@@ -221,7 +246,11 @@
     testbed::fleet::wait(patience, "a place", async || {
         let view = views.borrow().clone();
         let prompt = Default::default();
-        let wanted = placement::Wanted { prompt: &prompt, prefix: 7, avoid: &[] };
+        let wanted = placement::Wanted {
+            prompt: &prompt,
+            prefix: 7,
+            avoid: &[],
+        };
         let is_refused = !matches!(nobody.elect(&view, &mapping(), &wanted), Elected::Engine(_));
         assert!(is_refused, "a process that has no place began work");
         let elected = alone.elect(&view, &mapping(), &wanted);
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -4,6 +4,7 @@
 mod common;
 
 use parking_lot::Mutex;
+use protocol::{Answer, Frame, Kind, News};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use residency::{Command, Place, Proposal, State};
@@ -12,7 +13,6 @@
 use std::time::{Duration, Instant};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
-use protocol::{Answer, Frame, Kind, News};
 use transport::link;
 
 const PATIENCE: Duration = Duration::from_secs(40);
@@ -117,17 +117,26 @@
             address: address.clone(),
             desk: address,
         };
-        let news =
-            News { is_first: 1, fronts: Vec::new(), gone: Vec::new(), directories: vec![member] };
+        let news = News {
+            is_first: 1,
+            fronts: Vec::new(),
+            gone: Vec::new(),
+            directories: vec![member],
+        };
         link::send(&mut stream, &Frame::Company(news)).await?;
         while let Some(frame) = link::receive(&mut stream, protocol::CAP).await? {
             let answer = match frame {
-                Frame::Beat { demand, .. } => {
-                    Frame::Lease { number: demand.number, epoch, shares: Vec::new() }
-                }
-                Frame::Resolve { number, service, .. } => {
-                    Frame::Resolved { number, answer: Answer::Mapping(self.mapping(&service)) }
-                }
+                Frame::Beat { demand, .. } => Frame::Lease {
+                    number: demand.number,
+                    epoch,
+                    shares: Vec::new(),
+                },
+                Frame::Resolve {
+                    number, service, ..
+                } => Frame::Resolved {
+                    number,
+                    answer: Answer::Mapping(self.mapping(&service)),
+                },
                 other => anyhow::bail!("an unexpected frame: {other:?}"),
             };
             link::send(&mut stream, &answer).await?;
@@ -142,7 +151,9 @@
         script: Option<(Stage, Trouble)>,
         place: Stage,
     ) -> anyhow::Result<bool> {
-        let Some((_, trouble)) = script.filter(|(at, _)| *at == place) else { return Ok(false) };
+        let Some((_, trouble)) = script.filter(|(at, _)| *at == place) else {
+            return Ok(false);
+        };
         match trouble {
             Trouble::Reset => stream.set_zero_linger()?,
             Trouble::Close => {}
@@ -173,7 +184,10 @@
 
     async fn job(&self, mut stream: TcpStream) -> anyhow::Result<()> {
         let script = self.script.lock().take();
-        if self.is_troubled(&mut stream, script, Stage::Connected).await? {
+        if self
+            .is_troubled(&mut stream, script, Stage::Connected)
+            .await?
+        {
             return Ok(());
         }
         link::send(&mut stream, &Frame::Welcome).await?;
@@ -181,14 +195,20 @@
         if matches!(stream.peek(&mut first).await, Ok(1..)) {
             self.handed.lock().push(String::new());
         }
-        if self.is_troubled(&mut stream, script, Stage::Welcomed).await? {
+        if self
+            .is_troubled(&mut stream, script, Stage::Welcomed)
+            .await?
+        {
             return Ok(());
         }
         let Some(Frame::Job(head)) = link::receive(&mut stream, 1 << 20).await? else {
             anyhow::bail!("it begins without a job");
         };
         *self.handed.lock().last_mut().expect("noted") = head.id;
-        if self.is_troubled(&mut stream, script, Stage::HeadRead).await? {
+        if self
+            .is_troubled(&mut stream, script, Stage::HeadRead)
+            .await?
+        {
             return Ok(());
         }
         link::send(&mut stream, &Frame::Mapped(self.mapping("writer"))).await?;
@@ -196,21 +216,43 @@
             return Ok(());
         }
         link::send(&mut stream, &Frame::Go).await?;
-        while !matches!(link::receive(&mut stream, 1 << 20).await?, Some(Frame::BodyEnd) | None) {}
-        if self.is_troubled(&mut stream, script, Stage::BodyRead).await? {
+        while !matches!(
+            link::receive(&mut stream, 1 << 20).await?,
+            Some(Frame::BodyEnd) | None
+        ) {}
+        if self
+            .is_troubled(&mut stream, script, Stage::BodyRead)
+            .await?
+        {
             return Ok(());
         }
-        link::send(&mut stream, &Frame::AnswerHead { status: 200, headers: Vec::new() }).await?;
-        if self.is_troubled(&mut stream, script, Stage::AnswerBegun).await? {
+        link::send(
+            &mut stream,
+            &Frame::AnswerHead {
+                status: 200,
+                headers: Vec::new(),
+            },
+        )
+        .await?;
+        if self
+            .is_troubled(&mut stream, script, Stage::AnswerBegun)
+            .await?
+        {
             return Ok(());
         }
         let (half, rest) = OWN.split_at(OWN.len() / 2);
         link::send(&mut stream, &Frame::AnswerBody(half.to_vec())).await?;
-        if self.is_troubled(&mut stream, script, Stage::HalfAnswered).await? {
+        if self
+            .is_troubled(&mut stream, script, Stage::HalfAnswered)
+            .await?
+        {
             return Ok(());
         }
         link::send(&mut stream, &Frame::AnswerBody(rest.to_vec())).await?;
-        if self.is_troubled(&mut stream, script, Stage::AllButTheEnd).await? {
+        if self
+            .is_troubled(&mut stream, script, Stage::AllButTheEnd)
+            .await?
+        {
             return Ok(());
         }
         link::send(&mut stream, &Frame::AnswerEnd).await
@@ -224,11 +266,24 @@
 
 fn state() -> State {
     let mut state = State::default();
-    let key = Place { name: policy::fingerprint(KEY), within: "ana".into() };
-    let commands =
-        [Command::Revise { whole: true, text: BOOK.into() }, Command::Key(key)].into_iter();
+    let key = Place {
+        name: policy::fingerprint(KEY),
+        within: "ana".into(),
+    };
+    let commands = [
+        Command::Revise {
+            whole: true,
+            text: BOOK.into(),
+        },
+        Command::Key(key),
+    ]
+    .into_iter();
     for (command, epoch) in commands.zip(1..) {
-        let proposal = Proposal { id: format!("s-{epoch}"), base: 0, command };
+        let proposal = Proposal {
+            id: format!("s-{epoch}"),
+            base: 0,
+            command,
+        };
         let (outcome, _) = state.apply(epoch, &proposal);
         assert_eq!(outcome, residency::Outcome::Applied { epoch });
     }
@@ -239,15 +294,23 @@
     async fn start() -> Site {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let seed = listener.local_addr().expect("bound");
-        let node =
-            Arc::new(Node { state: state(), script: Script::default(), handed: Mutex::default() });
+        let node = Arc::new(Node {
+            state: state(),
+            script: Script::default(),
+            handed: Mutex::default(),
+        });
         let serving = Arc::clone(&node);
         tokio::spawn(link::accept(listener, move |stream| {
             let node = Arc::clone(&serving);
             async move { node.serve(stream).await }
         }));
         let process = std::process::id();
-        let ip = [127, 190, (process / 250 % 250) as u8, (process % 250) as u8 + 1];
+        let ip = [
+            127,
+            190,
+            (process / 250 % 250) as u8,
+            (process % 250) as u8 + 1,
+        ];
         let at = |port: u16| SocketAddr::from((ip, port));
         let settings = router::Settings {
             name: "edge-1".into(),
@@ -275,8 +338,14 @@
         let door = settings.door;
         tokio::spawn(async move {
             // No engine stands here, so that none is waited for.
-            let carriage = transport::dispatch::Carriage { sight_wait: 0, ..Default::default() };
-            let ports = router::Ports { carriage, ..Default::default() };
+            let carriage = transport::dispatch::Carriage {
+                sight_wait: 0,
+                ..Default::default()
+            };
+            let ports = router::Ports {
+                carriage,
+                ..Default::default()
+            };
             router::run(settings, ports).await.expect("it runs");
         });
         let site = Site { node, door };
@@ -289,7 +358,11 @@
     }
 
     async fn send(&self, route: &str, id: &str) -> Told {
-        let left = if id.contains("Silence") && !id.starts_with("next") { "400" } else { "9000" };
+        let left = if id.contains("Silence") && !id.starts_with("next") {
+            "400"
+        } else {
+            "9000"
+        };
         let headers = [
             ("x-tenant-key", KEY),
             ("x-model", "writer"),
@@ -298,8 +371,14 @@
         ];
         let target = format!("/app/{route}");
         // Cut visibly, or broken off.
-        let asked =
-            transport::web::ask(self.door, "POST", &target, &headers, vec![b'x'; 5_000], PATIENCE);
+        let asked = transport::web::ask(
+            self.door,
+            "POST",
+            &target,
+            &headers,
+            vec![b'x'; 5_000],
+            PATIENCE,
+        );
         match asked.await {
             Ok((200, body)) if body == OWN => Told::Own,
             Ok((200, body)) => panic!("{id}: {} bytes look whole", body.len()),
@@ -316,7 +395,12 @@
     }
 
     fn handed(&self, id: &str) -> usize {
-        self.node.handed.lock().iter().filter(|handed| *handed == id).count()
+        self.node
+            .handed
+            .lock()
+            .iter()
+            .filter(|handed| *handed == id)
+            .count()
     }
 }
 
@@ -367,7 +451,9 @@
                     _ => told == Told::Unknown && begun == 1,
                 };
                 if !is_right || site.handed(&id) > 1 {
-                    wrong.push(format!("{route}, {trouble:?} at {place:?}: {told:?}, {begun}"));
+                    wrong.push(format!(
+                        "{route}, {trouble:?} at {place:?}: {told:?}, {begun}"
+                    ));
                 }
                 let next = site.send("once", &format!("next-{id}")).await;
                 if next != Told::Own {
@@ -403,8 +489,12 @@
 
 async fn welcomed(node: SocketAddr) -> TcpStream {
     let source = SocketAddr::from(([127, 0, 0, 1], 0));
-    let mut stream = link::dial(source, node, Kind::Job, "edge-9").await.expect("dialled");
-    let frame = link::receive(&mut stream, protocol::HELLO_CAP).await.expect("a welcome");
+    let mut stream = link::dial(source, node, Kind::Job, "edge-9")
+        .await
+        .expect("dialled");
+    let frame = link::receive(&mut stream, protocol::HELLO_CAP)
+        .await
+        .expect("a welcome");
     assert_eq!(frame, Some(Frame::Welcome));
     stream
 }
@@ -445,7 +535,10 @@
         let id = loop {
             let id = format!("whole-{:x}", rand::random::<u64>());
             let mut stream = welcomed(node).await;
-            stream.write_all(&conversation(&id, left_ms)).await.expect("sent");
+            stream
+                .write_all(&conversation(&id, left_ms))
+                .await
+                .expect("sent");
             let mut last = None;
             while let Ok(Ok(Some(frame))) =
                 tokio::time::timeout(PATIENCE, link::receive(&mut stream, protocol::CAP)).await
@@ -466,11 +559,17 @@
         };
         common::noted(&fleet, &id, "ended").await;
         let events = common::events_of(&fleet, &id);
-        let runs = events.iter().filter(|event| event.starts_with("begun")).count();
+        let runs = events
+            .iter()
+            .filter(|event| event.starts_with("begun"))
+            .count();
         assert_eq!(runs, 1, "{id}: {events:?}");
     }
     for id in cut {
         let events = common::events_of(&fleet, &id);
-        assert!(!events.iter().any(|event| event.starts_with("begun")), "{id}: {events:?}");
+        assert!(
+            !events.iter().any(|event| event.starts_with("begun")),
+            "{id}: {events:?}"
+        );
     }
 }
--- a/testbed/tests/known_red.rs
+++ b/testbed/tests/known_red.rs
@@ -20,17 +20,28 @@
 fn workspace(name: &str) -> Folder {
     let folder = Folder::new(name);
     let root = &folder.0;
-    write(&root.join("Cargo.toml"), "[workspace]\nresolver = \"2\"\nmembers = [\"a\", \"b\"]\n");
+    write(
+        &root.join("Cargo.toml"),
+        "[workspace]\nresolver = \"2\"\nmembers = [\"a\", \"b\"]\n",
+    );
     for package in ["a", "b"] {
         let manifest =
             format!("[package]\nname = \"{package}\"\nversion = \"0.1.0\"\nedition = \"2021\"\n");
         write(&root.join(package).join("Cargo.toml"), &manifest);
         write(&root.join(package).join("src/lib.rs"), "");
         for test_file in ["edge", "core"] {
-            write(&root.join(package).join("tests").join(format!("{test_file}.rs")), PASSING);
+            write(
+                &root
+                    .join(package)
+                    .join("tests")
+                    .join(format!("{test_file}.rs")),
+                PASSING,
+            );
         }
     }
-    let locked = cargo(root).args(["generate-lockfile", "--offline"]).status();
+    let locked = cargo(root)
+        .args(["generate-lockfile", "--offline"])
+        .status();
     assert!(locked.expect("cargo runs").success());
     folder
 }
@@ -49,10 +60,15 @@
         None => drop(std::fs::remove_file(&list)),
     }
     let mut command = Command::new(SCRIPT);
-    command.current_dir(root).env("CARGO_TARGET_DIR", root.join("target"));
+    command
+        .current_dir(root)
+        .env("CARGO_TARGET_DIR", root.join("target"));
     let output = command.output().expect("the script runs");
     let both = [&output.stdout[..], &output.stderr[..]].concat();
-    (output.status.success(), String::from_utf8_lossy(&both).into_owned())
+    (
+        output.status.success(),
+        String::from_utf8_lossy(&both).into_owned(),
+    )
 }
 
 #[test]
@@ -63,13 +79,24 @@
     let line = "b/edge::late | the lease comes late | #12";
 
     let (is_passed, text) = check(root, None);
-    assert!(!is_passed, "without the file nothing is passed over: {text}");
+    assert!(
+        !is_passed,
+        "without the file nothing is passed over: {text}"
+    );
 
     let (is_passed, text) = check(root, Some(&format!("{line}\n")));
     assert!(is_passed, "{text}");
     assert!(text.contains(&format!("  {line}\n")), "{text}");
-    assert_eq!(text.matches("test late ... ok").count(), 3, "the namesakes run: {text}");
-    assert_eq!(text.matches("test late_too ... ok").count(), 4, "a longer name runs: {text}");
+    assert_eq!(
+        text.matches("test late ... ok").count(),
+        3,
+        "the namesakes run: {text}"
+    );
+    assert_eq!(
+        text.matches("test late_too ... ok").count(),
+        4,
+        "a longer name runs: {text}"
+    );
     assert_eq!(text.matches("1 filtered out").count(), 1, "{text}");
 
     write(&root.join("a/tests/edge.rs"), FAILING);
@@ -82,15 +109,31 @@
 fn a_list_that_is_not_in_order_is_refused() {
     let folder = workspace("known-red-refused");
     let line = |test: &str| format!("{test} | the lease comes late | #12\n");
-    let four = ["a/edge::late", "a/core::late", "b/edge::late", "b/core::late"].map(line).concat();
+    let four = [
+        "a/edge::late",
+        "a/core::late",
+        "b/edge::late",
+        "b/core::late",
+    ]
+    .map(line)
+    .concat();
     let cases = [
         (four, "it has 4 lines, 3 at most"),
         (line("b/edge::early"), "there is no test b/edge::early"),
         (line("b/edge::lat"), "there is no test b/edge::lat"),
         (line("c/edge::late"), "there is no test c/edge::late"),
-        ("b/edge::late | the lease comes late\n".into(), "no `package/test-file::test"),
-        ("b/edge::late | the lease comes late | \n".into(), "no `package/test-file::test"),
-        ("b/edge::late |  | #12\n".into(), "no `package/test-file::test"),
+        (
+            "b/edge::late | the lease comes late\n".into(),
+            "no `package/test-file::test",
+        ),
+        (
+            "b/edge::late | the lease comes late | \n".into(),
+            "no `package/test-file::test",
+        ),
+        (
+            "b/edge::late |  | #12\n".into(),
+            "no `package/test-file::test",
+        ),
         (line("late"), "no `package/test-file::test"),
         ("\n".into(), "it is empty"),
     ];
--- a/testbed/tests/orphans.rs
+++ b/testbed/tests/orphans.rs
@@ -9,12 +9,12 @@
 use common::{Folder, PATIENCE, SHAPE};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use testbed::fleet::{program, wait};
 use std::fs::File;
 use std::io::{BufRead, BufReader, Read};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc;
+use testbed::fleet::{program, wait};
 
 const TURNOS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/shapes/turnos.json");
 
@@ -32,11 +32,21 @@
     let mut children = Vec::new();
     for entry in std::fs::read_dir("/proc").expect("there is /proc") {
         let entry = entry.expect("an entry reads");
-        let Ok(number) = entry.file_name().to_string_lossy().parse::<i32>() else { continue };
+        let Ok(number) = entry.file_name().to_string_lossy().parse::<i32>() else {
+            continue;
+        };
         // One that has ended meanwhile is no child.
-        let Ok(stat) = std::fs::read_to_string(entry.path().join("stat")) else { continue };
-        let after_name = stat.rsplit(')').next().expect("rsplit gives one part at least");
-        let ppid = after_name.split_whitespace().nth(1).expect("the parent is the fourth field");
+        let Ok(stat) = std::fs::read_to_string(entry.path().join("stat")) else {
+            continue;
+        };
+        let after_name = stat
+            .rsplit(')')
+            .next()
+            .expect("rsplit gives one part at least");
+        let ppid = after_name
+            .split_whitespace()
+            .nth(1)
+            .expect("the parent is the fourth field");
         if ppid == parent.to_string() {
             children.push(Pid::from_raw(number));
         }
@@ -49,8 +59,14 @@
 fn start(name: &str, args: &[&str], folder: &Path) -> (Child, File) {
     let (read_end, write_end) = nix::unistd::pipe().expect("a pipe");
     let mut command = Command::new(program(name).expect("it is built"));
-    command.args(["--folder", &folder.display().to_string()]).args(args);
-    let child = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null()).spawn();
+    command
+        .args(["--folder", &folder.display().to_string()])
+        .args(args);
+    let child = command
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null())
+        .spawn();
     drop(write_end);
     (child.expect("it starts"), File::from(read_end))
 }
--- a/testbed/tests/simulator.rs
+++ b/testbed/tests/simulator.rs
@@ -8,7 +8,9 @@
 
 #[test]
 fn a_calm_cluster_elects_once_and_serves() {
-    let report = Simulation::new(1, 5, CALM).run(20_000).expect("nothing is wrong");
+    let report = Simulation::new(1, 5, CALM)
+        .run(20_000)
+        .expect("nothing is wrong");
     assert_eq!(report.elections, 1, "leadership is steady: {report:?}");
     assert!(report.acknowledged > 100, "{report:?}");
 }
@@ -85,7 +87,14 @@
 /// Operators on a network that holds much back, with a fault planted.
 fn planted_weather(seed: u64, fault: PlantedFault) -> Weather {
     let weather = [OPERATORS, OPERATORS_UNDER_LOSSES][seed as usize % 2];
-    Weather { loss: 200, operators: Some(OperatorPlan { count: 4, fault: Some(fault) }), ..weather }
+    Weather {
+        loss: 200,
+        operators: Some(OperatorPlan {
+            count: 4,
+            fault: Some(fault),
+        }),
+        ..weather
+    }
 }
 
 /// Guards that the judge of histories finds what it is there for: each fault, when
@@ -101,9 +110,14 @@
     for (first, fault) in planted {
         let is_found = |seed: u64| {
             let simulation = Simulation::new(seed, 5, planted_weather(seed, fault));
-            simulation.run(30_000).is_err_and(|text| text.contains("not linearizable"))
+            simulation
+                .run(30_000)
+                .is_err_and(|text| text.contains("not linearizable"))
         };
-        assert!((first..first + 10).any(is_found), "{fault:?} passes from seed {first} on");
+        assert!(
+            (first..first + 10).any(is_found),
+            "{fault:?} passes from seed {first} on"
+        );
     }
 }
 
@@ -126,7 +140,10 @@
     let name = std::env::var("WEATHER").unwrap_or_default();
     let planted = |fault| (5, planted_weather(seed, fault));
     match name.as_str() {
-        "" => (3 + 2 * (seed as usize % 2), [STORM, POWER, SUCCESSION][seed as usize / 2 % 3]),
+        "" => (
+            3 + 2 * (seed as usize % 2),
+            [STORM, POWER, SUCCESSION][seed as usize / 2 % 3],
+        ),
         "replacements" => (5, [REPLACEMENTS, PLANNED_REPLACEMENTS][seed as usize % 2]),
         "small" => (5, SMALL_SITE),
         "large" => (9, LARGE_SITE),
@@ -157,7 +174,9 @@
             std::thread::spawn(move || {
                 let run = |seed: &u64| {
                     let (nodes, weather) = swept_weather(*seed);
-                    Simulation::new(*seed, nodes, weather).run(30_000).map_err(|e| (*seed, e))
+                    Simulation::new(*seed, nodes, weather)
+                        .run(30_000)
+                        .map_err(|e| (*seed, e))
                 };
                 part.iter().map(run).collect::<Vec<_>>()
             })
@@ -173,7 +192,8 @@
             }
         }
     }
-    let sum = |ask: fn(&testbed::simulator::Report) -> usize| reports.iter().map(ask).sum::<usize>();
+    let sum =
+        |ask: fn(&testbed::simulator::Report) -> usize| reports.iter().map(ask).sum::<usize>();
     println!(
         "{} seeds: {} acknowledged, {} confirmed, {} elections, {} crashes, {} disks lost, \
          {} snapshots installed, {} losses, {} machines replaced, {} operations answered, \
@@ -189,7 +209,11 @@
         sum(|r| r.machines_replaced),
         sum(|r| r.operations_answered),
         sum(|r| r.operations_unanswered),
-        reports.iter().map(|report| report.longest_silence_ms).max().unwrap_or(0),
+        reports
+            .iter()
+            .map(|report| report.longest_silence_ms)
+            .max()
+            .unwrap_or(0),
         failed.len(),
     );
     for (seed, text) in &failed {
--- a/testbed/tests/streams.rs
+++ b/testbed/tests/streams.rs
@@ -71,10 +71,15 @@
         epoch = fleet.submit(change).await.expect("taken");
     }
     fleet.in_force(epoch, PATIENCE).await.expect("in force");
-    let chunks: String =
-        BODY.split_inclusive('\n').map(|line| format!("{:x}\r\n{line}\r\n", line.len())).collect();
+    let chunks: String = BODY
+        .split_inclusive('\n')
+        .map(|line| format!("{:x}\r\n{line}\r\n", line.len()))
+        .collect();
     let answers = [
-        format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{BODY}", BODY.len()),
+        format!(
+            "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{BODY}",
+            BODY.len()
+        ),
         format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunks}0\r\n\r\n"),
     ];
     let door = fleet.get("router-1").door();
@@ -91,7 +96,10 @@
             let epoch = fleet.submit(change).await.expect("taken");
             fleet.in_force(epoch, PATIENCE).await.expect("in force");
         }
-        let before = fleet.count(testbed::fleet::Kind::Router, "forwards").await.expect("told");
+        let before = fleet
+            .count(testbed::fleet::Kind::Router, "forwards")
+            .await
+            .expect("told");
         for answer in &answers {
             for cut in 0..=answer.len() {
                 *words.lock() = (answer.clone(), cut);
@@ -120,7 +128,10 @@
         // A caller that reads a little at a time gets all of a long answer, and
         // its end.
         let long = "0123456789abcde\n".repeat(1 << 17);
-        let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{long}", long.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{long}",
+            long.len()
+        );
         *words.lock() = (answer.clone(), answer.len());
         let mut stream = TcpStream::connect(door).await.expect("it listens");
         let job = "POST /app/write HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
@@ -135,9 +146,15 @@
             }
             tokio::task::yield_now().await;
         }
-        assert!(seen.starts_with(b"HTTP/1.1 200") && seen.ends_with(long.as_bytes()), "{way}");
+        assert!(
+            seen.starts_with(b"HTTP/1.1 200") && seen.ends_with(long.as_bytes()),
+            "{way}"
+        );
 
-        let after = fleet.count(testbed::fleet::Kind::Router, "forwards").await.expect("told");
+        let after = fleet
+            .count(testbed::fleet::Kind::Router, "forwards")
+            .await
+            .expect("told");
         let jobs: u64 = answers.iter().map(|answer| answer.len() as u64 + 1).sum();
         match way {
             "straight" => assert!(after <= before + 3, "{after}"),
--- a/testbed/tests/year.rs
+++ b/testbed/tests/year.rs
@@ -6,9 +6,9 @@
 use common::*;
 use simd_json::json;
 use simd_json::prelude::*;
+use std::time::{Duration, Instant};
 use testbed::caller::{call, Seen};
 use testbed::fleet::{ask, Kind};
-use std::time::{Duration, Instant};
 
 /// Guards: after everything stops, service returns within about 12 s, with one
 /// zone that never comes back and engines that are cold.
@@ -16,11 +16,15 @@
 #[ignore = "a measurement, for whoever has the time"]
 async fn service_returns_with_a_years_ledger() {
     let (_folder, mut fleet) = up("year").await;
-    let tenants: Vec<String> =
-        (0..300).map(|n| format!(r#""tenant-{n:03}":{{"homes":["north"],"pace":5}}"#)).collect();
+    let tenants: Vec<String> = (0..300)
+        .map(|n| format!(r#""tenant-{n:03}":{{"homes":["north"],"pace":5}}"#))
+        .collect();
     let book = format!(r#"{{"tenants":{{{}}}}}"#, tenants.join(","));
     let book = residency::parse_text(&book).expect("it reads");
-    fleet.submit(json!({ "do": "revise", "whole": false, "book": book })).await.expect("taken");
+    fleet
+        .submit(json!({ "do": "revise", "whole": false, "book": book }))
+        .await
+        .expect("taken");
     let desks = fleet.desks();
     let mut changes = tokio::task::JoinSet::new();
     for lane in 0..48usize {
@@ -47,18 +51,32 @@
         names.iter().for_each(|name| fleet.kill(name));
         let begun = Instant::now();
         let is_away = |name: &String| fleet.get(name).zone == "west-a";
-        let back: Vec<String> = names.iter().filter(|name| !is_away(name)).cloned().collect();
-        back.iter().for_each(|name| fleet.start(name).expect("it starts"));
+        let back: Vec<String> = names
+            .iter()
+            .filter(|name| !is_away(name))
+            .cloned()
+            .collect();
+        back.iter()
+            .for_each(|name| fleet.start(name).expect("it starts"));
         let mut tries = 0;
         loop {
             tries += 1;
-            let job = prompt(&format!("back-{round}-{tries}"), "ana-key-0001", "once upon");
+            let job = prompt(
+                &format!("back-{round}-{tries}"),
+                "ana-key-0001",
+                "once upon",
+            );
             if let Seen::Whole { .. } = call(door, &job, Duration::from_secs(10)).await {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let status = ask(fleet.of(Kind::Directory)[0].desk(), "GET", "/status", &json!(null));
+        let status = ask(
+            fleet.of(Kind::Directory)[0].desk(),
+            "GET",
+            "/status",
+            &json!(null),
+        );
         let status = status.await.expect("told");
         println!(
             "round {round}: epoch {}, {} keys, first whole answer after {} ms",
--- a/transport/src/boot.rs
+++ b/transport/src/boot.rs
@@ -19,7 +19,12 @@
     help: &'static str,
     default: Option<&'static str>,
 ) -> Setting {
-    Setting { name, hint, help, default }
+    Setting {
+        name,
+        hint,
+        help,
+        default,
+    }
 }
 
 /// Settings as given. Invariant: a value that did not check out has left a
@@ -37,7 +42,12 @@
         let mut options = getopts::Options::new();
         options.optflag("h", "help", "say this and end");
         options.optflag("V", "version", "say the version and end");
-        options.optopt("", "boot", "a JSON file with these settings; flags go first", "FILE");
+        options.optopt(
+            "",
+            "boot",
+            "a JSON file with these settings; flags go first",
+            "FILE",
+        );
         for setting in settings {
             let help = match setting.default {
                 Some(default) if !default.is_empty() => {
@@ -47,7 +57,11 @@
             };
             options.optopt("", setting.name, &help, setting.hint);
         }
-        let mut boot = Boot { program, values: BTreeMap::new(), complaints: Vec::new() };
+        let mut boot = Boot {
+            program,
+            values: BTreeMap::new(),
+            complaints: Vec::new(),
+        };
         let matches = match options.parse(std::env::args().skip(1)) {
             Ok(matches) => matches,
             Err(error) => {
@@ -66,7 +80,8 @@
             std::process::exit(0);
         }
         for word in &matches.free {
-            boot.complaints.push(format!("{word}: nothing is known of this word"));
+            boot.complaints
+                .push(format!("{word}: nothing is known of this word"));
         }
         for setting in settings {
             if let Some(default) = setting.default {
@@ -94,11 +109,14 @@
             Err(error) => return self.complaints.push(format!("{path}: {error}")),
         };
         let Some(object) = value.as_object() else {
-            return self.complaints.push(format!("{path}: an object should stand here"));
+            return self
+                .complaints
+                .push(format!("{path}: an object should stand here"));
         };
         for (name, value) in object.iter() {
             if !settings.iter().any(|setting| setting.name == name) {
-                self.complaints.push(format!("{path}: {name}: no such setting is known"));
+                self.complaints
+                    .push(format!("{path}: {name}: no such setting is known"));
                 continue;
             }
             let text = match value {
@@ -141,7 +159,10 @@
         if self.values.contains_key(name)
             && (text.is_empty() || text.len() > 64 || !text.chars().all(fits))
         {
-            self.complain(name, "a name is 1 to 64 letters, digits, dots, dashes, underscores");
+            self.complain(
+                name,
+                "a name is 1 to 64 letters, digits, dots, dashes, underscores",
+            );
         }
         text
     }
@@ -172,8 +193,15 @@
 
     pub fn addresses(&mut self, name: &str) -> Vec<SocketAddr> {
         let text = self.text(name);
-        let items: Vec<String> = text.split(',').map(|item| item.trim().to_string()).collect();
-        items.iter().filter(|item| !item.is_empty()).map(|item| self.parsed(name, item)).collect()
+        let items: Vec<String> = text
+            .split(',')
+            .map(|item| item.trim().to_string())
+            .collect();
+        items
+            .iter()
+            .filter(|item| !item.is_empty())
+            .map(|item| self.parsed(name, item))
+            .collect()
     }
 
     pub fn count(&mut self, name: &str, least: u64, most: u64) -> u64 {
@@ -181,7 +209,10 @@
         match text.parse() {
             Ok(count) if (least..=most).contains(&count) => count,
             _ => {
-                self.complain(name, format!("{text:?} is no whole number from {least} to {most}"));
+                self.complain(
+                    name,
+                    format!("{text:?} is no whole number from {least} to {most}"),
+                );
                 least
             }
         }
--- a/transport/src/dispatch.rs
+++ b/transport/src/dispatch.rs
@@ -11,8 +11,8 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper_util::rt::TokioIo;
-use policy::Prompt;
 use placement::{Event, Job, Outcome, State, Wanted};
+use policy::Prompt;
 use residency::{Mapping, View};
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -42,7 +42,11 @@
 
 impl Carried {
     pub fn new(held: Bytes, rest: Option<Rest>) -> Carried {
-        Carried { held, rest, is_spent: false }
+        Carried {
+            held,
+            rest,
+            is_spent: false,
+        }
     }
 
     /// Whether the whole body is still here to be sent.
@@ -62,7 +66,10 @@
 
     fn take(&mut self) -> Flow {
         let held = Some(self.held.clone()).filter(|held| !held.is_empty());
-        Flow { held, rest: self.take_rest() }
+        Flow {
+            held,
+            rest: self.take_rest(),
+        }
     }
 }
 
@@ -112,7 +119,9 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, anyhow::Error>>> {
-        self.0.poll_recv(context).map(|piece| piece.map(|piece| piece.map(Frame::data)))
+        self.0
+            .poll_recv(context)
+            .map(|piece| piece.map(|piece| piece.map(Frame::data)))
     }
 }
 
@@ -199,7 +208,10 @@
 
 impl Default for Speech {
     fn default() -> Speech {
-        let value = |text: &str| text.parse().expect("an address or an id is a header's value");
+        let value = |text: &str| {
+            text.parse()
+                .expect("an address or an id is a header's value")
+        };
         Speech {
             dress: Box::new(move |headers, dress| {
                 headers.insert("host", value(&dress.address.to_string()));
@@ -207,7 +219,9 @@
             }),
             judge: Box::new(|_, status, headers| {
                 let is_declined = status == 503
-                    && headers.get(ENGINE_OUTCOME).is_some_and(|value| value == "not-run");
+                    && headers
+                        .get(ENGINE_OUTCOME)
+                        .is_some_and(|value| value == "not-run");
                 if is_declined {
                     Verdict::Declined
                 } else {
@@ -278,20 +292,30 @@
         .get_all("connection")
         .iter()
         .filter_map(|value| value.to_str().ok())
-        .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
+        .flat_map(|value| {
+            value
+                .split(',')
+                .map(|name| name.trim().to_ascii_lowercase())
+        })
         .collect();
     for name in HOP.iter().map(|name| name.to_string()).chain(listed) {
         headers.remove(name.as_str());
     }
-    let ours: Vec<_> =
-        headers.keys().filter(|name| name.as_str().starts_with("x-rushport-")).cloned().collect();
+    let ours: Vec<_> = headers
+        .keys()
+        .filter(|name| name.as_str().starts_with("x-rushport-"))
+        .cloned()
+        .collect();
     for name in ours {
         headers.remove(name);
     }
 }
 
 fn unknown(status: u16, code: &str, text: &str) -> Refusal {
-    Refusal { outcome: Outcome::Unknown, ..Refusal::not_run(status, code, text) }
+    Refusal {
+        outcome: Outcome::Unknown,
+        ..Refusal::not_run(status, code, text)
+    }
 }
 
 /// Invariant: the events that a process hands to a job's chart are ones that
@@ -323,7 +347,11 @@
             }
             let mut has_budget = || {
                 let has_budget = std::mem::take(&mut is_paid) || (self.budget)(&mapping.service);
-                self.counters.one(if has_budget { "retries" } else { "retries-refused" });
+                self.counters.one(if has_budget {
+                    "retries"
+                } else {
+                    "retries-refused"
+                });
                 if has_budget {
                     log::info!(job = parts.id.as_str(); "a further round");
                 }
@@ -332,11 +360,20 @@
             if !job.may_go_on(&mut has_budget) {
                 return Err(self.give_up(job, "no further round is allowed"));
             }
-            let wanted = Wanted { prompt: &parts.prompt, prefix, avoid: &avoid };
+            let wanted = Wanted {
+                prompt: &parts.prompt,
+                prefix,
+                avoid: &avoid,
+            };
             let mut seat = match self.seat(&mapping, &wanted, asked, parts.deadline).await {
                 Ok(seat) => seat,
                 Err(refusal) if job.outcome() == Outcome::NotRun => return Err(refusal),
-                Err(refusal) => return Err(Refusal { outcome: Outcome::Unknown, ..refusal }),
+                Err(refusal) => {
+                    return Err(Refusal {
+                        outcome: Outcome::Unknown,
+                        ..refusal
+                    })
+                }
             };
             step(job, Event::EngineElected);
             let kept = match job.is_repeatable() {
@@ -381,10 +418,16 @@
                 Err(Against::Key) => {
                     let text = "this tenant key was taken away meanwhile";
                     let refusal = Refusal::not_run(401, "unknown-key", text);
-                    return Err(Refusal { outcome: job.outcome(), ..refusal });
+                    return Err(Refusal {
+                        outcome: job.outcome(),
+                        ..refusal
+                    });
                 }
                 Err(Against::Leave(refusal)) => {
-                    return Err(Refusal { outcome: job.outcome(), ..refusal })
+                    return Err(Refusal {
+                        outcome: job.outcome(),
+                        ..refusal
+                    })
                 }
                 Err(Against::Engine) => continue,
             }
@@ -399,11 +442,18 @@
                 (None, Some(stream)) => {
                     self.counters.one("connections");
                     let slot = Arc::new(Slot::default());
-                    let gate = Gate { stream: TokioIo::new(stream), slot: Arc::clone(&slot) };
+                    let gate = Gate {
+                        stream: TokioIo::new(stream),
+                        slot: Arc::clone(&slot),
+                    };
                     match hyper::client::conn::http1::handshake(gate).await {
                         Ok((sender, connection)) => {
                             let driver = Aborting(tokio::spawn(connection).abort_handle());
-                            Lane { sender, slot, driver }
+                            Lane {
+                                sender,
+                                slot,
+                                driver,
+                            }
                         }
                         Err(_) => {
                             step(job, Event::ConnectFailed);
@@ -413,7 +463,11 @@
                 }
                 (None, None) => unreachable!("a connection was kept or made"),
             };
-            let Lane { mut sender, slot, driver } = lane;
+            let Lane {
+                mut sender,
+                slot,
+                driver,
+            } = lane;
             slot.arm(armed);
             let request = self.request(parts, &seat, &mapping, carried);
             step(job, Event::BytesLeave);
@@ -461,7 +515,11 @@
                 (Ok(Ok(answer)), Verdict::Answer) if has_end(&answer, &parts.method) => {
                     seat.began();
                     step(job, Event::AnswerBegan);
-                    let lane = Lane { sender, slot, driver };
+                    let lane = Lane {
+                        sender,
+                        slot,
+                        driver,
+                    };
                     return Ok(self.relay(*job, parts, answer, seat, lane));
                 }
                 (Ok(Ok(_)), verdict) => {
@@ -549,7 +607,10 @@
         (self.carriage.speech.dress)(&mut headers, &dress);
         let mut request = hyper::Request::new(carried.take());
         *request.method_mut() = parts.method.clone();
-        *request.uri_mut() = parts.target.parse().expect("the target was a uri when it came in");
+        *request.uri_mut() = parts
+            .target
+            .parse()
+            .expect("the target was a uri when it came in");
         *request.headers_mut() = headers;
         request
     }
@@ -574,7 +635,10 @@
 
     fn late(&self, job: &Job) -> Refusal {
         let refusal = Refusal::not_run(504, "deadline", "the job's deadline passed");
-        Refusal { outcome: job.outcome(), ..refusal }
+        Refusal {
+            outcome: job.outcome(),
+            ..refusal
+        }
     }
 
     fn give_up(&self, job: &Job, why: &str) -> Refusal {
@@ -584,7 +648,11 @@
                 "engines-unreachable",
                 format!("no engine took the job and {why}"),
             ),
-            _ => unknown(502, "engine-lost", "the engine broke off before it answered"),
+            _ => unknown(
+                502,
+                "engine-lost",
+                "the engine broke off before it answered",
+            ),
         }
     }
 
@@ -648,7 +716,11 @@
             lanes: Arc::clone(&self.lanes),
             kept_ms,
         };
-        Answer { status: head.status, headers, body: relay }
+        Answer {
+            status: head.status,
+            headers,
+            body: relay,
+        }
     }
 }
 
@@ -689,7 +761,9 @@
 /// How long an engine keeps an idle connection by its own word, less a margin.
 fn kept_ms(headers: &HeaderMap) -> Option<u64> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
-    let seconds = text.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+    let seconds = text
+        .split(',')
+        .find_map(|part| part.trim().strip_prefix("timeout="))?;
     let seconds: u64 = seconds.trim().parse().ok()?;
     let stated_ms = seconds.saturating_mul(1_000).min(LONGEST_KEPT_MS);
     Some(stated_ms.saturating_sub(300))
--- a/transport/src/doors.rs
+++ b/transport/src/doors.rs
@@ -180,7 +180,11 @@
         self.leave();
         self.shut.notify_one();
         let is_idle = |stage: &&Arc<Stage>| stage.at.load(Ordering::Relaxed) == IDLE;
-        self.stages.lock().values().filter(is_idle).for_each(|stage| stage.end.notify_one());
+        self.stages
+            .lock()
+            .values()
+            .filter(is_idle)
+            .for_each(|stage| stage.end.notify_one());
     }
 
     async fn accept(self: Arc<Doors>, listener: TcpListener, handler: Handler) {
@@ -226,8 +230,13 @@
                 }
             })
         };
-        let head = usize::try_from((self.limits)().head).unwrap_or(usize::MAX).max(8 << 10);
-        let io = TokioIo::new(Watched { stream, stage: Arc::clone(&stage) });
+        let head = usize::try_from((self.limits)().head)
+            .unwrap_or(usize::MAX)
+            .max(8 << 10);
+        let io = TokioIo::new(Watched {
+            stream,
+            stage: Arc::clone(&stage),
+        });
         let connection = hyper::server::conn::http1::Builder::new()
             .max_buf_size(head)
             .serve_connection(io, service);
--- a/transport/src/lib.rs
+++ b/transport/src/lib.rs
@@ -33,7 +33,10 @@
 /// Waits until the process is asked to stop.
 pub async fn wait_for_end() -> std::io::Result<()> {
     use tokio::signal::unix::{signal, SignalKind};
-    let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
+    let (mut term, mut int) = (
+        signal(SignalKind::terminate())?,
+        signal(SignalKind::interrupt())?,
+    );
     tokio::select! {
         _ = term.recv() => {}
         _ = int.recv() => {}
--- a/transport/src/link.rs
+++ b/transport/src/link.rs
@@ -2,11 +2,11 @@
 
 use crate::traffic;
 use anyhow::{anyhow, bail, Context};
+use protocol::{Frame, Kind};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use protocol::{Frame, Kind};
 
 /// How long connecting may take, and how long a first frame.
 pub const PATIENCE: Duration = Duration::from_millis(1_000);
@@ -38,8 +38,14 @@
     kind: Kind,
     name: &str,
 ) -> anyhow::Result<TcpStream> {
-    let mut stream = connect(source, to).await.with_context(|| format!("dialling {to}"))?;
-    let hello = Frame::Hello { epoch: protocol::EPOCH, kind, name: name.into() };
+    let mut stream = connect(source, to)
+        .await
+        .with_context(|| format!("dialling {to}"))?;
+    let hello = Frame::Hello {
+        epoch: protocol::EPOCH,
+        kind,
+        name: name.into(),
+    };
     send(&mut stream, &hello).await?;
     Ok(stream)
 }
@@ -73,7 +79,9 @@
         bail!("the connection ended within a frame");
     }
     traffic::received(&bytes);
-    protocol::decode(&bytes).map(Some).map_err(|text| anyhow!("an unreadable frame: {text}"))
+    protocol::decode(&bytes)
+        .map(Some)
+        .map_err(|text| anyhow!("an unreadable frame: {text}"))
 }
 
 /// Accepts connections for good, each served by a task of its own.
@@ -108,10 +116,16 @@
         .await
         .map_err(|_| anyhow!("no hello came"))??;
     match frame {
-        Some(Frame::Hello { epoch: protocol::EPOCH, kind, name }) => Ok((kind, name)),
+        Some(Frame::Hello {
+            epoch: protocol::EPOCH,
+            kind,
+            name,
+        }) => Ok((kind, name)),
         Some(Frame::Hello { epoch, name, .. }) => {
-            let text =
-                format!("{name} speaks wire epoch {epoch}, this build speaks {} only", protocol::EPOCH);
+            let text = format!(
+                "{name} speaks wire epoch {epoch}, this build speaks {} only",
+                protocol::EPOCH
+            );
             send(stream, &Frame::Refused { text: text.clone() }).await?;
             Err(anyhow!(text))
         }
--- a/transport/src/logs.rs
+++ b/transport/src/logs.rs
@@ -29,9 +29,14 @@
             let mut pairs = Pairs(simd_json::owned::Object::default());
             pairs.0.insert(
                 "time".into(),
-                chrono::Utc::now().to_rfc3339_opts(chrono::SecondsFormat::Micros, true).into(),
+                chrono::Utc::now()
+                    .to_rfc3339_opts(chrono::SecondsFormat::Micros, true)
+                    .into(),
+            );
+            pairs.0.insert(
+                "level".into(),
+                record.level().as_str().to_lowercase().into(),
             );
-            pairs.0.insert("level".into(), record.level().as_str().to_lowercase().into());
             pairs.0.insert("program".into(), kind.into());
             pairs.0.insert("name".into(), name.clone().into());
             pairs.0.insert("what".into(), message.to_string().into());
--- a/transport/src/quota.rs
+++ b/transport/src/quota.rs
@@ -5,9 +5,9 @@
 use crate::web::Refusal;
 use parking_lot::Mutex;
 use placement::{Margin, Meters, Place, Taps};
+use protocol::{FrontDemand, Share};
 use std::time::Duration;
 use tokio::sync::Notify;
-use protocol::{FrontDemand, Share};
 
 /// Whose word a process admits by: asked for each job where it lies nowhere yet,
 /// or lying here before the job comes.
@@ -26,7 +26,11 @@
 impl Default for Quota {
     fn default() -> Quota {
         let means = Means::Meters(Mutex::new(Meters::new(now(), rand::random())));
-        Quota { means, urgent: Notify::new(), told: Notify::new() }
+        Quota {
+            means,
+            urgent: Notify::new(),
+            told: Notify::new(),
+        }
     }
 }
 
@@ -49,7 +53,11 @@
     /// One under which no job waits; the margin is the fleet's.
     pub fn without_waiting(margin: Margin) -> Quota {
         let means = Means::Taps(Mutex::new(Taps::new(now(), rand::random(), margin)));
-        Quota { means, urgent: Notify::new(), told: Notify::new() }
+        Quota {
+            means,
+            urgent: Notify::new(),
+            told: Notify::new(),
+        }
     }
 
     pub fn demands(&self, front: &str, number: u64) -> FrontDemand {
@@ -101,13 +109,19 @@
             }
         };
         let came = now();
-        let mut waiting = Waiting { meters, tenant, ticket: None };
+        let mut waiting = Waiting {
+            meters,
+            tenant,
+            ticket: None,
+        };
         loop {
             let told = self.told.notified();
             tokio::pin!(told);
             told.as_mut().enable();
             let patience = patience.as_millis() as u64;
-            let place = meters.lock().admit(now(), tenant, came, waiting.ticket, patience);
+            let place = meters
+                .lock()
+                .admit(now(), tenant, came, waiting.ticket, patience);
             match place {
                 Place::Admitted => return Ok(()),
                 Place::Queued(ticket) => waiting.ticket = Some(ticket),
--- a/transport/src/roster.rs
+++ b/transport/src/roster.rs
@@ -5,9 +5,9 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper_util::rt::TokioIo;
-use policy::Prompt;
 use parking_lot::Mutex;
 use placement::{Chosen, Engines, Estimates, News, Vitals, Wanted, SILENCE_MS};
+use policy::Prompt;
 use residency::{Mapping, View};
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
@@ -200,7 +200,9 @@
         gone.iter().for_each(|name| drop(readers.remove(name)));
         for engine in new {
             // Addresses are checked where engines are listed.
-            let Ok(address) = engine.address.parse() else { continue };
+            let Ok(address) = engine.address.parse() else {
+                continue;
+            };
             let reader = tokio::spawn(Arc::clone(self).follow(engine.name.clone(), address));
             readers.insert(engine.name, Aborting(reader.abort_handle()));
         }
@@ -227,15 +229,18 @@
         let (mut sender, connection) =
             hyper::client::conn::http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream)).await?;
         let driver = Aborting(tokio::spawn(connection).abort_handle());
-        let request =
-            hyper::Request::get("/vitals").header("host", address.to_string()).body(Empty::new())?;
+        let request = hyper::Request::get("/vitals")
+            .header("host", address.to_string())
+            .body(Empty::new())?;
         let silence = Duration::from_millis(SILENCE_MS);
         let answer = tokio::time::timeout(silence, sender.send_request(request)).await??;
         anyhow::ensure!(answer.status() == 200, "status {}", answer.status());
         let mut body = answer.into_body();
         let mut line = Vec::new();
         while let Some(frame) = tokio::time::timeout(silence, body.frame()).await? {
-            let Ok(data) = frame?.into_data() else { continue };
+            let Ok(data) = frame?.into_data() else {
+                continue;
+            };
             for byte in data {
                 match byte {
                     b'\n' => {
@@ -263,7 +268,10 @@
             queue: count("queue")?,
             slots: count("slots")?,
             is_warm: value.get("warm").and_then(|v| v.as_bool()).unwrap_or(true),
-            is_draining: value.get("draining").and_then(|v| v.as_bool()).unwrap_or(false),
+            is_draining: value
+                .get("draining")
+                .and_then(|v| v.as_bool())
+                .unwrap_or(false),
             completed: count("completed").unwrap_or(0),
             // Without its clock the routers' own cut its slots, each a little
             // differently; it is not left without work.
@@ -283,14 +291,24 @@
         let me = peers.first().copied().unwrap_or(0);
         let chosen = match &self.sight {
             Sight::Vitals(engines) => {
-                engines.lock().elect(now(), view, mapping, wanted.prefix, me, &peers)
+                engines
+                    .lock()
+                    .elect(now(), view, mapping, wanted.prefix, me, &peers)
             }
             Sight::Answers(estimates) => {
-                estimates.lock().elect(now(), view, mapping, wanted, me, &peers)
+                estimates
+                    .lock()
+                    .elect(now(), view, mapping, wanted, me, &peers)
             }
         };
         match chosen {
-            Chosen::Engine { name, address, zone, until, losses } => Elected::Engine(Seat {
+            Chosen::Engine {
+                name,
+                address,
+                zone,
+                until,
+                losses,
+            } => Elected::Engine(Seat {
                 roster: Arc::clone(self),
                 address: address.parse().expect("checked when it was followed"),
                 name,
@@ -320,13 +338,17 @@
 
     /// Looks at engines that failed, until each can be reached again.
     pub async fn probe(self: Arc<Roster>) {
-        let Sight::Answers(estimates) = &self.sight else { return };
+        let Sight::Answers(estimates) = &self.sight else {
+            return;
+        };
         loop {
             tokio::time::sleep(jitter(PROBE_MS)).await;
             let due = estimates.lock().suspects(now());
             for (name, address) in due {
                 let (roster, source) = (Arc::clone(&self), self.source);
-                let Ok(address) = address.parse() else { continue };
+                let Ok(address) = address.parse() else {
+                    continue;
+                };
                 tokio::spawn(async move {
                     let reached = link::connect(source, address).await;
                     if let (Ok(_), Sight::Answers(estimates)) = (reached, &roster.sight) {
--- a/transport/src/web.rs
+++ b/transport/src/web.rs
@@ -65,7 +65,8 @@
             ApiEndpointVersions::All,
         );
         endpoint.visible = false;
-        api.register(endpoint).map_err(|error| anyhow::anyhow!(error.to_string()))?;
+        api.register(endpoint)
+            .map_err(|error| anyhow::anyhow!(error.to_string()))?;
     }
     let config = ConfigDropshot {
         bind_address: address,
@@ -132,7 +133,10 @@
         let mut response = json(self.status, &value);
         let headers = response.headers_mut();
         let outcome = self.outcome.to_string();
-        headers.insert(OUTCOME, outcome.parse().expect("an outcome is a header's value"));
+        headers.insert(
+            OUTCOME,
+            outcome.parse().expect("an outcome is a header's value"),
+        );
         if let Ok(job) = job.parse() {
             headers.insert(JOB, job);
         }
@@ -183,16 +187,23 @@
         let (mut sender, connection) =
             hyper::client::conn::http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(connection);
-        let mut request =
-            hyper::Request::builder().method(method).uri(target).header("host", to.to_string());
+        let mut request = hyper::Request::builder()
+            .method(method)
+            .uri(target)
+            .header("host", to.to_string());
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let answer = sender.send_request(request.body(Full::new(body.into()))?).await?;
+        let answer = sender
+            .send_request(request.body(Full::new(body.into()))?)
+            .await?;
         let status = answer.status().as_u16();
         let body = Limited::new(answer.into_body(), ANSWER_CAP).collect().await;
         driver.abort();
-        let bytes = body.map_err(|error| anyhow::anyhow!("{error}"))?.to_bytes().to_vec();
+        let bytes = body
+            .map_err(|error| anyhow::anyhow!("{error}"))?
+            .to_bytes()
+            .to_vec();
         anyhow::Ok((status, bytes))
     };
     tokio::time::timeout(patience, work)
@@ -204,5 +215,8 @@
 /// One field of a query, as far as names need it.
 pub fn query(uri: &hyper::Uri, name: &str) -> Option<String> {
     let pairs = uri.query()?.split('&');
-    pairs.filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|p| p.1.to_string())
+    pairs
+        .filter_map(|pair| pair.split_once('='))
+        .find(|(n, _)| *n == name)
+        .map(|p| p.1.to_string())
 }
--- a/transport/tests/link.rs
+++ b/transport/tests/link.rs
@@ -3,16 +3,19 @@
 use proptest::prelude::*;
 use proptest::sample::Index;
 use proptest::test_runner::{Config, RngSeed};
+use protocol::{Frame, Kind};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
-use protocol::{Frame, Kind};
 use transport::link;
 
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn runtime() -> tokio::runtime::Runtime {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime")
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime")
 }
 
 /// Reads frames off these bytes until they end; gives the frames, and whether the end
@@ -43,11 +46,19 @@
 
 fn sample() -> Vec<Frame> {
     vec![
-        Frame::Hello { epoch: protocol::EPOCH, kind: Kind::Job, name: "edge-1".into() },
+        Frame::Hello {
+            epoch: protocol::EPOCH,
+            kind: Kind::Job,
+            name: "edge-1".into(),
+        },
         Frame::Welcome,
         Frame::Body(vec![7; 900]),
         Frame::BodyEnd,
-        Frame::Look { number: 5, key: "ana/writer".into(), epoch: 3 },
+        Frame::Look {
+            number: 5,
+            key: "ana/writer".into(),
+            epoch: 3,
+        },
     ]
 }
 
@@ -97,12 +108,19 @@
     runtime().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
-        let hello = |epoch| Frame::Hello { epoch, kind: Kind::Router, name: "edge-1".into() };
+        let hello = |epoch| Frame::Hello {
+            epoch,
+            kind: Kind::Router,
+            name: "edge-1".into(),
+        };
         let newer = protocol::encode(&hello(protocol::EPOCH + 1));
         let cases: Vec<(Vec<u8>, Option<&str>)> = vec![
             (protocol::encode(&hello(protocol::EPOCH)), None),
             (newer.clone(), Some("wire epoch")),
-            (protocol::encode(&hello(protocol::EPOCH - 1)), Some("wire epoch")),
+            (
+                protocol::encode(&hello(protocol::EPOCH - 1)),
+                Some("wire epoch"),
+            ),
             (protocol::encode(&Frame::Welcome), Some("no hello")),
             (newer[..newer.len() - 1].to_vec(), Some("within a frame")),
             (Vec::new(), Some("closed before a hello")),
@@ -150,6 +168,9 @@
         let asking = transport::web::ask(address, "GET", "/", &[], Vec::new(), PATIENCE);
         let (sent, answer) = tokio::join!(answering, asking);
         assert!(answer.is_err(), "it read {sent} bytes");
-        assert!(sent < transport::web::ANSWER_CAP * 2, "{sent} bytes were taken");
+        assert!(
+            sent < transport::web::ANSWER_CAP * 2,
+            "{sent} bytes were taken"
+        );
     });
 }
