--- a/directory/src/driver/thread/mod.rs
+++ b/directory/src/driver/thread/mod.rs
@@ -5,7 +5,7 @@
 
 use super::disk::keep;
 use super::{ClusterStatus, ConsensusDriver, DriverCommand, Standstill};
-use crate::forwarding::LeaderClock;
+use crate::leader_clock::LeaderClock;
 use crate::peers::PeerConnections;
 use consensus::node::{
     Effect, Input, Node, PersistedState, Refusal as No, SnapshotPolicy, Timing, Write,
@@ -106,7 +106,7 @@
     standstill: Arc<Standstill>,
     snapshot_every: u64,
     /// Nothing is proposed for operators before so many voters count.
-    is_confirmed_by: usize,
+    min_voters: usize,
 }
 
 #[allow(clippy::too_many_arguments)]
@@ -114,7 +114,7 @@
     me: Member,
     timing: Timing,
     snapshot_every: u64,
-    is_confirmed_by: usize,
+    min_voters: usize,
     margin: Option<Margin>,
     segments: WriteAheadLog<Folder>,
     kept: PersistedState,
@@ -167,7 +167,7 @@
         routers: Arc::clone(&driver.routers),
         standstill: Arc::clone(&driver.standstill),
         snapshot_every,
-        is_confirmed_by,
+        min_voters,
     };
     thread.publish();
     std::thread::Builder::new()
--- a/directory/src/driver/thread/requests.rs
+++ b/directory/src/driver/thread/requests.rs
@@ -2,7 +2,7 @@
 
 use super::{DriverThread, Grants, Sent, Waiter};
 use crate::driver::{Asked, Forwarded};
-use crate::forwarding::is_valid;
+use crate::leader_clock::is_valid;
 use consensus::node::{Input, Role};
 use consensus::pack::packed;
 use protocol::{Frame, FrontDemand, FrontShares, PeerRequest, PeerResponse};
@@ -96,7 +96,7 @@
                     return self.deliver(waiter, PeerResponse::Submitted(outcome));
                 }
                 // What too few hold might go with the loss of one.
-                if self.node.members().voters.len() < self.is_confirmed_by {
+                if self.node.members().voters.len() < self.min_voters {
                     return self.deliver(waiter, PeerResponse::Busy);
                 }
                 Input::Propose(token, packed(&proposal))
--- a/directory/src/engine_discovery.rs
+++ b/directory/src/engine_discovery.rs
@@ -9,13 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub type Asking = Pin<Box<dyn Future<Output = anyhow::Result<Vec<Engine>>> + Send>>;
+pub type FetchFuture = Pin<Box<dyn Future<Output = anyhow::Result<Vec<Engine>>> + Send>>;
 
 /// Where the list is to be had. Invariant: an answer is the whole list, or an
 /// error; what is missing from it is gone.
 pub struct EngineDiscovery {
     pub period_ms: u64,
-    pub ask: Box<dyn Fn() -> Asking + Send + Sync>,
+    pub fetch: Box<dyn Fn() -> FetchFuture + Send + Sync>,
 }
 
 /// An answer that took longer, also because this process stood still, is void.
@@ -25,7 +25,7 @@
 /// What a list says anew, as one command; nothing where it says nothing. Of an
 /// engine's warming only its beginning and its end are news. Engines of cells
 /// that the book does not know wait.
-pub fn news(view: &View, listed: Vec<Engine>) -> Option<Command> {
+pub fn diff_engines(view: &View, listed: Vec<Engine>) -> Option<Command> {
     let is_listed = |name: &str| listed.iter().any(|engine| engine.name == name);
     let gone: Vec<Name> = view
         .engines
@@ -69,14 +69,14 @@
         let base = control.base();
         let (seen, known) = (
             control.fronts.lock().count() as u32,
-            control.look(|s| s.view.fleet),
+            control.with_state(|s| s.view.fleet),
         );
         if seen >= known {
             fewer_since = None;
         }
         let since = *fewer_since.get_or_insert(transport::now());
         let is_news = seen > known || seen < known && transport::now() > since + FEWER_MS;
-        if let Some(term) = control.leads_in().filter(|_| is_news) {
+        if let Some(term) = control.leader_term().filter(|_| is_news) {
             let id = format!("fleet-{:016x}", rand::random::<u64>());
             let proposal = Proposal {
                 id,
@@ -95,7 +95,7 @@
         .await
         .is_ok()
     {
-        let Some(term) = control.leads_in() else {
+        let Some(term) = control.leader_term() else {
             continue;
         };
         if let Err(error) = take(&control, &listing, term).await {
@@ -114,12 +114,12 @@
 /// leader's own list made.
 async fn take(control: &ControlPlane, listing: &EngineDiscovery, term: Term) -> anyhow::Result<()> {
     let patience = Duration::from_millis(STALE_MS);
-    if !control.confirm_within(patience).await {
+    if !control.read_barrier_within(patience).await {
         anyhow::bail!("no majority confirms that this node leads");
     }
     let (at, base) = (transport::now(), control.base());
-    let listed = tokio::time::timeout(patience, (listing.ask)()).await??;
-    let Some(command) = control.look(|state| news(&state.view, listed)) else {
+    let listed = tokio::time::timeout(patience, (listing.fetch)()).await??;
+    let Some(command) = control.with_state(|state| diff_engines(&state.view, listed)) else {
         return Ok(());
     };
     if transport::now() > at + STALE_MS {
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -1,19 +1,19 @@
 //! A directory node: a member of the consensus group that holds residency, resolves
 //! and forwards misses, streams events to routers, and answers operators.
 //!
-//! The node is a library: `run` carries one out by its settings, and `Ports`
+//! The node is a library: `run` carries one out by its settings, and `Extensions`
 //! are the seams at which another interface than our own can be put to it.
 
-pub mod asked;
 mod driver;
 pub mod engine_discovery;
-pub mod forwarding;
-mod jobs;
+mod forwarded_requests;
+pub mod leader_clock;
+mod maintenance_windows;
 mod operator_api;
-mod orders;
+mod operator_commands;
 mod peers;
+pub mod pending_requests;
 mod subscriptions;
-mod windows;
 
 pub use engine_discovery::EngineDiscovery;
 
@@ -35,7 +35,7 @@
 use transport::roster::Roster;
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Flavour {
+pub enum RuntimeFlavor {
     CurrentThread,
     MultiThread,
 }
@@ -51,49 +51,49 @@
     /// Where it listens for them.
     pub listen: SocketAddr,
     /// Where operators reach it.
-    pub desk: SocketAddr,
-    pub data: PathBuf,
+    pub operator_address: SocketAddr,
+    pub data_dir: PathBuf,
     /// Addresses of directory nodes, in an order that is the same everywhere at
     /// the first start of all.
     pub seeds: Vec<SocketAddr>,
     pub timing: Timing,
     /// Forwarded jobs at a time, at the most; with 0, mappings alone.
-    pub jobs: usize,
+    pub max_forwarded_requests: usize,
     /// Bytes of forwarded bodies held at a time.
-    pub bytes: usize,
+    pub max_forwarded_bytes: usize,
     /// Entries between two pictures.
     pub snapshot_every: u64,
     /// This is the first start of all nodes on empty disks: the seeds found a
     /// cluster between them. Where it is false, only an operator founds one.
-    pub first_start: bool,
+    pub is_first_start: bool,
     /// No change is acknowledged before so many voters count.
-    pub is_confirmed_by: usize,
+    pub min_voters: usize,
     /// How long a node that is told to stop waits for the others to do without it.
-    pub leave_patience: Duration,
+    pub leave_timeout: Duration,
     /// How far past its quota a tenant may get over all routers, where no job is to
     /// wait for the leader's word.
-    pub margin: Option<placement::Margin>,
-    pub flavour: Flavour,
+    pub quota_margin: Option<placement::Margin>,
+    pub runtime: RuntimeFlavor,
 }
 
 /// One more HTTP server, beside the operators' control.
-pub struct Server {
+pub struct HttpServer {
     pub address: SocketAddr,
-    pub body_cap: usize,
+    pub max_body_bytes: usize,
     pub handler: Box<dyn FnOnce(Arc<ControlPlane>) -> transport::web::Handler + Send>,
 }
 
 /// What is told of a node that is up.
-pub type Begun = Box<dyn FnOnce(Arc<ControlPlane>) + Send>;
+pub type OnStart = Box<dyn FnOnce(Arc<ControlPlane>) + Send>;
 
 /// The seams of a node. The default is our own interface: engines come by
 /// operators' calls, and the operators' control is the one server.
 #[derive(Default)]
-pub struct Ports {
-    pub listing: Option<EngineDiscovery>,
-    pub fronts: Vec<Server>,
+pub struct Extensions {
+    pub engine_discovery: Option<EngineDiscovery>,
+    pub http_servers: Vec<HttpServer>,
     /// Called once, within the runtime, as soon as the node is there.
-    pub begun: Option<Begun>,
+    pub on_start: Option<OnStart>,
 }
 
 /// What every part of the node holds on to.
@@ -121,7 +121,7 @@
 impl ControlPlane {
     /// Has a majority confirm that what counts is known here. True only once
     /// all that counted when this was asked is applied at this node.
-    pub async fn confirm(&self) -> bool {
+    pub async fn read_barrier(&self) -> bool {
         let reply = self
             .driver
             .ask(PeerRequest::Confirm {
@@ -132,9 +132,9 @@
     }
 
     /// The same, asked again until it holds or patience ends.
-    pub async fn confirm_within(&self, patience: Duration) -> bool {
+    pub async fn read_barrier_within(&self, patience: Duration) -> bool {
         let ask = async {
-            while !self.confirm().await {
+            while !self.read_barrier().await {
                 tokio::time::sleep(transport::jitter(60)).await;
             }
         };
@@ -142,7 +142,7 @@
     }
 
     /// Looks at the state as it is applied here.
-    pub fn look<T>(&self, at: impl FnOnce(&State) -> T) -> T {
+    pub fn with_state<T>(&self, at: impl FnOnce(&State) -> T) -> T {
         at(&self.driver.state.read())
     }
 
@@ -152,7 +152,7 @@
 
     /// The document that operators wrote, as it is in force here.
     pub fn config_document(&self) -> ConfigDocument {
-        self.look(|state| state.config_document().clone())
+        self.with_state(|state| state.config_document().clone())
     }
 
     /// The routers heard of lately, here or at another node, each with its age.
@@ -165,7 +165,7 @@
         self.driver.is_recent()
     }
 
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.driver.cluster_status.borrow().is_leader
     }
 
@@ -206,7 +206,7 @@
     if cluster != 0 {
         return Ok(false);
     }
-    if settings.first_start && settings.seeds.first() == Some(&settings.address) {
+    if settings.is_first_start && settings.seeds.first() == Some(&settings.address) {
         std::fs::File::create(&mark)?.sync_all()?;
         std::fs::File::open(folder)?.sync_all()?;
     }
@@ -214,8 +214,8 @@
 }
 
 /// Carries a node out until it is asked to stop. Logs are the caller's to set up.
-pub fn run(settings: Settings, ports: Ports) -> anyhow::Result<()> {
-    let folder = settings.data.as_path();
+pub fn run(settings: Settings, extensions: Extensions) -> anyhow::Result<()> {
+    let folder = settings.data_dir.as_path();
     let data = folder.display();
     std::fs::create_dir_all(folder).with_context(|| format!("data folder {data}"))?;
     let lock = std::fs::File::create(folder.join("lock"))?;
@@ -231,19 +231,21 @@
         )
     })?;
     let founds = is_founder(&settings, folder, kept.hard_state.cluster)?;
-    let mut builder = match settings.flavour {
-        Flavour::CurrentThread => tokio::runtime::Builder::new_current_thread(),
-        Flavour::MultiThread => tokio::runtime::Builder::new_multi_thread(),
+    let mut builder = match settings.runtime {
+        RuntimeFlavor::CurrentThread => tokio::runtime::Builder::new_current_thread(),
+        RuntimeFlavor::MultiThread => tokio::runtime::Builder::new_multi_thread(),
     };
     let runtime = builder.enable_all().build()?;
-    runtime.block_on(serve(settings, ports, identity, segments, kept, founds))?;
+    runtime.block_on(serve(
+        settings, extensions, identity, segments, kept, founds,
+    ))?;
     runtime.shutdown_timeout(Duration::from_millis(200));
     Ok(())
 }
 
 async fn serve(
     settings: Settings,
-    ports: Ports,
+    extensions: Extensions,
     identity: u64,
     segments: WriteAheadLog<Folder>,
     kept: consensus::node::PersistedState,
@@ -251,7 +253,7 @@
 ) -> anyhow::Result<()> {
     let Settings {
         listen,
-        jobs,
+        max_forwarded_requests,
         address,
         ..
     } = settings;
@@ -261,7 +263,7 @@
         region: settings.region,
         zone: settings.zone,
         address: address.to_string(),
-        desk: settings.desk.to_string(),
+        desk: settings.operator_address.to_string(),
     };
     let counters = Arc::new(Counters::default());
     let peers = peers::PeerConnections::new(member.clone(), listen);
@@ -269,8 +271,8 @@
         member.clone(),
         settings.timing,
         settings.snapshot_every,
-        settings.is_confirmed_by,
-        settings.margin,
+        settings.min_voters,
+        settings.quota_margin,
         segments,
         kept,
         Arc::clone(&peers),
@@ -278,7 +280,7 @@
     )?;
     // Work at cold engines is begun by routers alone.
     let roster = Roster::new(listen, Box::new(Vec::new));
-    if jobs > 0 {
+    if max_forwarded_requests > 0 {
         tokio::spawn(Arc::clone(&roster).run(driver.view.clone()));
     }
     let gate = Arc::clone(&driver);
@@ -307,22 +309,25 @@
         company: tokio::sync::watch::Sender::new(0),
         beat: tokio::sync::Notify::new(),
         quota: Quota::default(),
-        has_margin: settings.margin.is_some(),
-        job_places: Arc::new(tokio::sync::Semaphore::new(jobs)),
-        job_bytes: Arc::new(tokio::sync::Semaphore::new(settings.bytes)),
+        has_margin: settings.quota_margin.is_some(),
+        job_places: Arc::new(tokio::sync::Semaphore::new(max_forwarded_requests)),
+        job_bytes: Arc::new(tokio::sync::Semaphore::new(settings.max_forwarded_bytes)),
     });
-    if let Some(begun) = ports.begun {
+    if let Some(begun) = extensions.on_start {
         begun(Arc::clone(&control));
     }
     let listener = tokio::net::TcpListener::bind(listen)
         .await
         .with_context(|| format!("listening at {listen}"))?;
-    let mut servers = vec![operator_api::serve(Arc::clone(&control), settings.desk)?];
-    for front in ports.fronts {
+    let mut servers = vec![operator_api::serve(
+        Arc::clone(&control),
+        settings.operator_address,
+    )?];
+    for front in extensions.http_servers {
         let handler = (front.handler)(Arc::clone(&control));
         servers.push(transport::web::serve(
             front.address,
-            front.body_cap,
+            front.max_body_bytes,
             handler,
         )?);
     }
@@ -344,11 +349,11 @@
     tokio::spawn(peers::join(Arc::clone(&control)));
     tokio::spawn(subscriptions::confirm(Arc::clone(&control)));
     tokio::spawn(subscriptions::gossip(Arc::clone(&control)));
-    tokio::spawn(windows::run(Arc::clone(&control)));
-    if settings.margin.is_some() {
+    tokio::spawn(maintenance_windows::run(Arc::clone(&control)));
+    if settings.quota_margin.is_some() {
         tokio::spawn(engine_discovery::count(Arc::clone(&control)));
     }
-    if let Some(listing) = ports.listing {
+    if let Some(listing) = extensions.engine_discovery {
         tokio::spawn(engine_discovery::run(Arc::clone(&control), listing));
     }
     log::info!(identity = format!("{identity:016x}"); "directory node is up at {address}");
@@ -356,11 +361,13 @@
     log::info!("stopping");
     control
         .driver
-        .prepare_to_stop(identity, settings.leave_patience)
+        .prepare_to_stop(identity, settings.leave_timeout)
         .await;
     // Jobs that are being relayed get a bounded time to finish.
     let until = tokio::time::Instant::now() + Duration::from_secs(20);
-    while control.job_places.available_permits() < jobs && tokio::time::Instant::now() < until {
+    while control.job_places.available_permits() < max_forwarded_requests
+        && tokio::time::Instant::now() < until
+    {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     // What is left is cut off; callers see a break.
--- a/directory/src/main.rs
+++ b/directory/src/main.rs
@@ -1,7 +1,7 @@
 //! The directory daemon with our own interface: settings by flags and a JSON file.
 
 use consensus::node::Timing;
-use directory::{Flavour, Ports, Settings};
+use directory::{Extensions, RuntimeFlavor, Settings};
 use std::time::Duration;
 use transport::boot::{setting, Boot, Setting};
 
@@ -80,21 +80,21 @@
         zone: boot.name("zone"),
         address,
         listen: boot.address_or("listen", address),
-        desk,
-        data: boot.text("data").into(),
+        operator_address: desk,
+        data_dir: boot.text("data").into(),
         seeds: boot.addresses("seeds"),
         timing: Timing {
             voters: boot.count("voters", 1, 9) as usize,
             ..Timing::default()
         },
-        jobs: boot.count("jobs", 0, 100_000) as usize,
-        bytes: boot.count("bytes", 1 << 20, 1 << 31) as usize,
+        max_forwarded_requests: boot.count("jobs", 0, 100_000) as usize,
+        max_forwarded_bytes: boot.count("bytes", 1 << 20, 1 << 31) as usize,
         snapshot_every: boot.count("snapshot-every", 16, 1 << 20),
-        first_start: false,
-        is_confirmed_by: 1,
-        leave_patience: Duration::from_millis(2_000),
-        margin: None,
-        flavour: Flavour::MultiThread,
+        is_first_start: false,
+        min_voters: 1,
+        leave_timeout: Duration::from_millis(2_000),
+        quota_margin: None,
+        runtime: RuntimeFlavor::MultiThread,
     };
     let level = boot.text("level");
     if address == desk {
@@ -103,7 +103,7 @@
     boot.finish();
     let run = || {
         transport::logs::start("directory", &settings.name, &level)?;
-        directory::run(settings, Ports::default())
+        directory::run(settings, Extensions::default())
     };
     if let Err(error) = run() {
         eprintln!("directory: {error:#}");
--- a/directory/src/windows.rs
+++ b/directory/src/maintenance_windows.rs
@@ -21,11 +21,11 @@
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |age| age.as_secs());
-        let Some(term) = control.leads_in() else {
+        let Some(term) = control.leader_term() else {
             continue;
         };
         // One at a time: the next is built on what this one makes.
-        while let Some((base, command)) = control.look(|state| {
+        while let Some((base, command)) = control.with_state(|state| {
             let next = state.due(now).into_iter().next();
             next.map(|command| (state.epoch(), command))
         }) {
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -189,7 +189,7 @@
 /// The document in force, never one older than what was acknowledged before it
 /// was asked for.
 async fn book(control: &ControlPlane) -> Response {
-    if !control.confirm_within(CONFIRM_PATIENCE).await {
+    if !control.read_barrier_within(CONFIRM_PATIENCE).await {
         return refused(503, "no-majority", "no majority confirms what is newest");
     }
     let state = control.driver.state.read();
@@ -450,7 +450,7 @@
     let reply = match proposal.base {
         0 => {
             control
-                .order(proposal.id, proposal.command, PATIENCE, PATIENCE)
+                .execute(proposal.id, proposal.command, PATIENCE, PATIENCE)
                 .await
         }
         _ => control.submit(proposal, PATIENCE).await,
--- a/directory/src/orders.rs
+++ b/directory/src/operator_commands.rs
@@ -19,7 +19,7 @@
     /// patience ends; of that, `contact` for a majority's confirmation of what is in
     /// force, also where the order is decided anew. A conflict is never its outcome. Dropping the future, as when the caller
     /// leaves, ends it; past its end nothing more is proposed for it.
-    pub async fn order(
+    pub async fn execute(
         &self,
         id: String,
         command: Command,
@@ -31,7 +31,7 @@
             now + patience.as_millis() as u64,
             now + contact.as_millis() as u64,
         );
-        if !self.confirm_within(contact).await {
+        if !self.read_barrier_within(contact).await {
             return PeerResponse::NotLeader;
         }
         loop {
@@ -48,7 +48,7 @@
             // A caller that has heard nothing for longer than that may have gone to
             // another node, and on to an order to the contrary.
             let is_late = transport::now() >= contact_until;
-            if is_late || !self.confirm_within(left(contact_until)).await {
+            if is_late || !self.read_barrier_within(left(contact_until)).await {
                 return PeerResponse::NotLeader;
             }
         }
@@ -75,14 +75,14 @@
     }
 
     /// The term that this node leads in, if it does.
-    pub fn leads_in(&self) -> Option<Term> {
+    pub fn leader_term(&self) -> Option<Term> {
         let cluster_status = self.driver.cluster_status.borrow();
         cluster_status.is_leader.then_some(cluster_status.term)
     }
 
     /// What a change is built on that goes by the state as it is applied here.
     pub(crate) fn base(&self) -> u64 {
-        self.look(|state| state.epoch().max(FOUNDED))
+        self.with_state(|state| state.epoch().max(FOUNDED))
     }
 }
 
--- a/directory/src/peers.rs
+++ b/directory/src/peers.rs
@@ -1,8 +1,8 @@
 //! PeerConnections to the other directory nodes, and the port they all come in by.
 
-use crate::asked::Asked;
 use crate::driver::{DriverCommand, Forwarded};
-use crate::{jobs, subscriptions, ControlPlane};
+use crate::pending_requests::PendingRequests;
+use crate::{forwarded_requests, subscriptions, ControlPlane};
 use consensus::pack::unpacked;
 use consensus::{Body, EntryPayload, Member, NodeId};
 use parking_lot::Mutex;
@@ -34,7 +34,7 @@
     /// Where those who introduced themselves are to be found.
     known: Mutex<HashMap<NodeId, String>>,
     /// Which question went where.
-    asked: Mutex<Asked>,
+    asked: Mutex<PendingRequests>,
 }
 
 impl PeerConnections {
@@ -59,7 +59,7 @@
 
     pub fn send(self: &Arc<PeerConnections>, address: &str, frame: Frame) {
         if let Frame::Ask { number, .. } = &frame {
-            self.asked.lock().sent(now(), *number, address);
+            self.asked.lock().record_sent(now(), *number, address);
         }
         let mut out = self.out.lock();
         let sender = out.entry(address.to_string()).or_insert_with(|| {
@@ -98,7 +98,10 @@
             check_content(&message.body).map_err(|text| anyhow::anyhow!("{peer}: {text}"))?;
         }
         if let Frame::PeerResponse { number, .. } = &frame {
-            let is_awaited = self.asked.lock().is_answered(now(), *number, &peer.address);
+            let is_awaited = self
+                .asked
+                .lock()
+                .accept_response(now(), *number, &peer.address);
             return Ok(is_awaited.then_some(frame));
         }
         Ok(Some(frame))
@@ -195,7 +198,7 @@
     match kind {
         Kind::Directory => hear(control, stream).await,
         Kind::Router => subscriptions::serve(control, stream, name).await,
-        Kind::Job => jobs::serve(control, stream).await,
+        Kind::Job => forwarded_requests::serve(control, stream).await,
         Kind::Neighbour => anyhow::bail!("{name} takes this for a router"),
     }
 }
--- a/directory/src/asked.rs
+++ b/directory/src/pending_requests.rs
@@ -8,7 +8,7 @@
 /// Invariant: a number is here from when its question was sent until its answer was
 /// taken or it is too old to be waited for.
 #[derive(Default)]
-pub struct Asked {
+pub struct PendingRequests {
     open: HashMap<u64, SentRequest>,
 }
 
@@ -22,9 +22,9 @@
 /// Old questions are looked for when there are so many.
 const MANY: usize = 256;
 
-impl Asked {
+impl PendingRequests {
     /// A question of this number is sent there.
-    pub fn sent(&mut self, now: u64, number: u64, address: &str) {
+    pub fn record_sent(&mut self, now: u64, number: u64, address: &str) {
         if self.open.len() >= MANY {
             self.open
                 .retain(|_, question| now < question.sent_ms + OPEN_MS);
@@ -38,7 +38,7 @@
 
     /// Whether an answer of this number, from the node at that address, is one that
     /// is waited for. The next one of the same number is not.
-    pub fn is_answered(&mut self, now: u64, number: u64, address: &str) -> bool {
+    pub fn accept_response(&mut self, now: u64, number: u64, address: &str) -> bool {
         let is_awaited = |question: &SentRequest| {
             question.address == address && now < question.sent_ms + OPEN_MS
         };
--- a/directory/tests/common/mod.rs
+++ b/directory/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! forwarded proposals back, as a cut does.
 
 use consensus::node::Timing;
-use directory::{ControlPlane, Flavour, Ports, Settings};
+use directory::{ControlPlane, Extensions, RuntimeFlavor, Settings};
 use protocol::{Frame, PeerRequest, PeerResponse, Validity};
 use residency::{Command, Outcome};
 use std::net::SocketAddr;
@@ -136,7 +136,7 @@
 /// Invariant: the nodes go on until the test's process ends.
 pub struct Nodes {
     folder: PathBuf,
-    pub desks: Vec<Arc<ControlPlane>>,
+    pub control_planes: Vec<Arc<ControlPlane>>,
     relay: Arc<Relay>,
     held: mpsc::UnboundedReceiver<Held>,
     replies: mpsc::UnboundedReceiver<(u64, PeerResponse)>,
@@ -165,7 +165,7 @@
             held: held_in,
             replies: replies_in,
         });
-        let mut desks = Vec::new();
+        let mut control_planes = Vec::new();
         for node in 0..NODES {
             let listener = TcpListener::bind(at(node, RELAY_PORT))
                 .await
@@ -177,34 +177,34 @@
                 zone: format!("zone-{node}"),
                 address: at(node, RELAY_PORT),
                 listen: at(node, LISTEN_PORT),
-                desk: at(node, DESK_PORT),
-                data: folder.join(format!("data-{node}")),
+                operator_address: at(node, DESK_PORT),
+                data_dir: folder.join(format!("data-{node}")),
                 seeds: (0..NODES).map(|seed| at(seed, RELAY_PORT)).collect(),
                 timing: Timing {
                     election_timeout_ms: ELECTION_MS,
                     ..Timing::default()
                 },
-                jobs: 0,
-                bytes: 0,
+                max_forwarded_requests: 0,
+                max_forwarded_bytes: 0,
                 snapshot_every: 256,
-                first_start: true,
-                is_confirmed_by: NODES,
-                leave_patience: Duration::ZERO,
-                margin: None,
-                flavour: Flavour::CurrentThread,
+                is_first_start: true,
+                min_voters: NODES,
+                leave_timeout: Duration::ZERO,
+                quota_margin: None,
+                runtime: RuntimeFlavor::CurrentThread,
             };
             let (begun, has_begun) = tokio::sync::oneshot::channel();
-            let begun: directory::Begun = Box::new(move |desk| drop(begun.send(desk)));
-            let ports = Ports {
-                begun: Some(begun),
-                ..Ports::default()
+            let begun: directory::OnStart = Box::new(move |desk| drop(begun.send(desk)));
+            let extensions = Extensions {
+                on_start: Some(begun),
+                ..Extensions::default()
             };
-            std::thread::spawn(move || directory::run(settings, ports).expect("it runs"));
-            desks.push(has_begun.await.expect("it starts"));
+            std::thread::spawn(move || directory::run(settings, extensions).expect("it runs"));
+            control_planes.push(has_begun.await.expect("it starts"));
         }
         let nodes = Nodes {
             folder,
-            desks,
+            control_planes,
             relay,
             held,
             replies,
@@ -213,18 +213,24 @@
             whole: true,
             text: TOPOLOGY.into(),
         };
-        nodes.must(&nodes.desks[0], "topology", command).await;
+        nodes
+            .must(&nodes.control_planes[0], "topology", command)
+            .await;
         nodes
     }
 
     /// The leader and a follower.
     pub async fn roles(&self) -> (Arc<ControlPlane>, Arc<ControlPlane>) {
-        let leads = |desk: &&Arc<ControlPlane>| desk.leads();
+        let leads = |desk: &&Arc<ControlPlane>| desk.is_leader();
         loop {
-            let leader = self.desks.iter().find(leads).cloned();
-            let follower = self.desks.iter().find(|desk| !desk.leads()).cloned();
+            let leader = self.control_planes.iter().find(leads).cloned();
+            let follower = self
+                .control_planes
+                .iter()
+                .find(|desk| !desk.is_leader())
+                .cloned();
             if let (Some(leader), Some(follower)) = (leader, follower) {
-                if leader.confirm().await && follower.confirm().await {
+                if leader.read_barrier().await && follower.read_barrier().await {
                     return (leader, follower);
                 }
             }
@@ -234,7 +240,7 @@
 
     /// Orders until it is taken.
     pub async fn must(&self, desk: &ControlPlane, id: &str, command: Command) {
-        let order = desk.order(id.into(), command, PATIENCE, PATIENCE);
+        let order = desk.execute(id.into(), command, PATIENCE, PATIENCE);
         let reply = order.await;
         let is_taken = matches!(
             reply,
@@ -281,9 +287,9 @@
     /// majority.
     pub async fn is_evacuated(&self, zone: &str) -> bool {
         let mut seen = Vec::new();
-        for desk in &self.desks {
-            assert!(desk.confirm_within(PATIENCE).await);
-            seen.push(desk.look(|state| state.view.evacuated.contains(zone)));
+        for desk in &self.control_planes {
+            assert!(desk.read_barrier_within(PATIENCE).await);
+            seen.push(desk.with_state(|state| state.view.evacuated.contains(zone)));
         }
         assert!(seen.iter().all(|shut| *shut == seen[0]), "{seen:?}");
         seen[0]
--- a/directory/tests/forwarding.rs
+++ b/directory/tests/leader_clock.rs
@@ -1,6 +1,6 @@
 //! Deadlines by another machine's clock.
 
-use directory::forwarding::{is_valid, LeaderClock};
+use directory::leader_clock::{is_valid, LeaderClock};
 use protocol::{PeerRequest, Validity};
 use residency::{Command, Proposal};
 
--- a/directory/tests/orders.rs
+++ b/directory/tests/operator_commands.rs
@@ -31,7 +31,7 @@
     nodes.hold(true);
     let order = tokio::spawn(async move {
         follower
-            .order("held".into(), evacuate(), PATIENCE, PATIENCE)
+            .execute("held".into(), evacuate(), PATIENCE, PATIENCE)
             .await
     });
     let held = nodes.next_held().await;
@@ -42,7 +42,7 @@
     nodes.must(&leader, "taken back", reinstate()).await;
 
     let Validity { term, deadline_ms } = held.validity;
-    assert_eq!(Some(term), leader.leads_in());
+    assert_eq!(Some(term), leader.leader_term());
     assert!(deadline_ms > 0, "the leader's clock is known by then");
     held.release(Validity {
         term,
@@ -92,7 +92,7 @@
     nodes.hold(true);
     let order = tokio::spawn(async move {
         follower
-            .order("held".into(), reinstate(), PATIENCE, PATIENCE)
+            .execute("held".into(), reinstate(), PATIENCE, PATIENCE)
             .await
     });
     let held = nodes.next_held().await;
@@ -121,7 +121,7 @@
     nodes.hold(true);
     let order = tokio::spawn(async move {
         follower
-            .order("held".into(), evacuate(), PATIENCE, PATIENCE)
+            .execute("held".into(), evacuate(), PATIENCE, PATIENCE)
             .await
     });
     let held = nodes.next_held().await;
@@ -147,7 +147,7 @@
     // A repeat of it is known, and changes nothing that came after.
     nodes.must(&leader, "taken back again", reinstate()).await;
     let again = leader
-        .order("held".into(), evacuate(), PATIENCE, PATIENCE)
+        .execute("held".into(), evacuate(), PATIENCE, PATIENCE)
         .await;
     assert!(
         matches!(again, PeerResponse::Submitted(Outcome::Repeated { .. })),
@@ -166,7 +166,7 @@
     let contact = Duration::from_millis(500);
     let order = tokio::spawn(async move {
         follower
-            .order("held".into(), evacuate(), contact, PATIENCE)
+            .execute("held".into(), evacuate(), contact, PATIENCE)
             .await
     });
     let held = nodes.next_held().await;
@@ -212,7 +212,7 @@
     let patience = Duration::from_millis(2_000);
     let asked = transport::now();
     let reply = follower
-        .order("held".into(), evacuate(), PATIENCE, patience)
+        .execute("held".into(), evacuate(), PATIENCE, patience)
         .await;
     let ended = transport::now();
     assert!(!matches!(reply, PeerResponse::Submitted(_)), "{reply:?}");
@@ -235,7 +235,7 @@
     nodes.hold(true);
     let next = Arc::clone(&follower);
     let order = tokio::spawn(async move {
-        next.order("next".into(), reinstate(), PATIENCE, PATIENCE)
+        next.execute("next".into(), reinstate(), PATIENCE, PATIENCE)
             .await
     });
     let PeerRequest::Submit(proposal) = nodes.next_held().await.question else {
@@ -257,9 +257,13 @@
     let (leader_id, next_id) = (leader.member.identity, next.member.identity);
     let is_third =
         |desk: &&Arc<ControlPlane>| ![leader_id, next_id].contains(&desk.member.identity);
-    let third = nodes.desks.iter().find(is_third).expect("there are three");
+    let third = nodes
+        .control_planes
+        .iter()
+        .find(is_third)
+        .expect("there are three");
     // The next leader gets the entry, and does not hear that it is committed.
-    let known = next.look(|state| state.epoch());
+    let known = next.with_state(|state| state.epoch());
     nodes.set_filter(Box::new(move |mut frame| {
         if let Frame::Consensus(Message {
             to,
@@ -281,8 +285,8 @@
         text: text.into(),
     };
     nodes.must(&leader, "a zone more", revise).await;
-    assert!(third.confirm_within(PATIENCE).await);
-    let base = third.look(|state| state.epoch());
+    assert!(third.read_barrier_within(PATIENCE).await);
+    let base = third.with_state(|state| state.epoch());
     assert!(base > known);
     // It takes over, and no response tells it of a majority before the order is there.
     let mut is_asked = false;
@@ -325,13 +329,13 @@
         base,
         command,
     };
-    let mut cluster_status = next.leads_in();
+    let mut cluster_status = next.leader_term();
     while cluster_status.is_none() {
         tokio::task::yield_now().await;
-        cluster_status = next.leads_in();
+        cluster_status = next.leader_term();
     }
     assert_eq!(
-        next.look(|state| state.epoch()),
+        next.with_state(|state| state.epoch()),
         known,
         "it knows nothing of the zone yet"
     );
@@ -348,7 +352,7 @@
 async fn what_a_leader_finds_due_counts_in_its_term() {
     let nodes = Nodes::start(5).await;
     let (leader, follower) = nodes.roles().await;
-    let term = leader.leads_in().expect("it leads");
+    let term = leader.leader_term().expect("it leads");
     let proposal = |id: &str| Proposal {
         id: id.into(),
         base: 0,
--- a/directory/tests/asked.rs
+++ b/directory/tests/pending_requests.rs
@@ -1,6 +1,6 @@
 //! Answers against the questions that they are said to belong to.
 
-use directory::asked::Asked;
+use directory::pending_requests::PendingRequests;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::collections::HashMap;
@@ -9,17 +9,17 @@
 
 #[test]
 fn an_answer_counts_once_and_only_from_where_its_question_went() {
-    let mut asked = Asked::default();
-    asked.sent(0, 1, "a");
-    asked.sent(0, 2, "b");
-    assert!(!asked.is_answered(10, 1, "b"), "crosswise");
+    let mut pending = PendingRequests::default();
+    pending.record_sent(0, 1, "a");
+    pending.record_sent(0, 2, "b");
+    assert!(!pending.accept_response(10, 1, "b"), "crosswise");
     assert!(
-        !asked.is_answered(10, 3, "a"),
-        "never asked, or asked by an earlier process"
+        !pending.accept_response(10, 3, "a"),
+        "never pending, or pending by an earlier process"
     );
-    assert!(asked.is_answered(10, 1, "a"));
-    assert!(!asked.is_answered(10, 1, "a"), "a second time");
-    assert!(!asked.is_answered(OPEN_MS, 2, "b"), "too late");
+    assert!(pending.accept_response(10, 1, "a"));
+    assert!(!pending.accept_response(10, 1, "a"), "a second time");
+    assert!(!pending.accept_response(OPEN_MS, 2, "b"), "too late");
 }
 
 proptest! {
@@ -32,25 +32,25 @@
         steps in prop::collection::vec((0u64..40, 0usize..3, any::<bool>(), 0u64..400), 0..400)
     ) {
         let nodes = ["a", "b", "c"];
-        let (mut asked, mut model, mut now) = (Asked::default(), HashMap::new(), 0);
+        let (mut pending, mut model, mut now) = (PendingRequests::default(), HashMap::new(), 0);
         for (number, node, is_question, passes) in steps {
             now += passes;
             if is_question {
-                asked.sent(now, number, nodes[node]);
+                pending.record_sent(now, number, nodes[node]);
                 model.insert(number, (nodes[node], now));
                 continue;
             }
             let expected = model
                 .get(&number)
                 .is_some_and(|(address, at)| *address == nodes[node] && now < at + OPEN_MS);
-            prop_assert_eq!(asked.is_answered(now, number, nodes[node]), expected);
+            prop_assert_eq!(pending.accept_response(now, number, nodes[node]), expected);
             if expected {
                 model.remove(&number);
             }
         }
         for number in 1_000..3_000 {
-            asked.sent(now + number * 100, number, "a");
+            pending.record_sent(now + number * 100, number, "a");
         }
-        prop_assert!(asked.len() <= 300, "{} questions are kept", asked.len());
+        prop_assert!(pending.len() <= 300, "{} questions are kept", pending.len());
     }
 }
