--- a/router/src/company.rs
+++ b/router/src/company.rs
@@ -134,7 +134,7 @@
     links.insert(to, fresh.clone());
     let (name, source, looks) = (
         router.boot.name.clone(),
-        router.boot.listen,
+        router.boot.peer_listen_address,
         Arc::clone(&fresh.looks),
     );
     tokio::spawn(async move {
--- a/router/src/door.rs
+++ b/router/src/door.rs
@@ -25,7 +25,7 @@
 const RESOLVE_PATIENCE: Duration = Duration::from_millis(1_000);
 
 pub async fn serve(router: Arc<Router>) -> anyhow::Result<Arc<Doors>> {
-    let address = router.boot.door;
+    let address = router.boot.ingress_address;
     let listener = tokio::net::TcpListener::bind(address)
         .await
         .with_context(|| format!("listening at {address}"))?;
@@ -62,13 +62,13 @@
     let fits = |id: &String| {
         (1..=64).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
     };
-    let given = (router.ports.callers.id)(request.headers()).filter(fits);
+    let given = (router.extensions.clients.request_id)(request.headers()).filter(fits);
     given.unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()))
 }
 
 async fn answer(router: Arc<Router>, request: Request) -> Response {
-    let callers = &router.ports.callers;
-    if let Some(page) = (callers.pages)(&router, &request) {
+    let clients = &router.extensions.clients;
+    if let Some(page) = (clients.other_pages)(&router, &request) {
         return page;
     }
     let id = job_id(&router, &request);
@@ -78,7 +78,7 @@
     match take(&router, request, &id, &mut claim).await {
         Ok(response) => {
             let (mut head, body) = response.into_parts();
-            (callers.mark)(&mut head.headers, &id);
+            (clients.decorate_response)(&mut head.headers, &id);
             // The job is under way until its last byte is out.
             let body = body.map_err(move |error| {
                 let _ = (&under_way, &claim);
@@ -93,7 +93,7 @@
             });
             log::info!(job = id.as_str(), code = refusal.code.as_str(),
                 outcome = refusal.outcome.to_string(); "refused: {}", refusal.text);
-            (callers.refuse)(&refusal, &id)
+            (clients.refusal_response)(&refusal, &id)
         }
     }
 }
@@ -202,7 +202,7 @@
     let view = router.view.borrow().clone();
     let longest = router
         .boot
-        .body
+        .max_body_bytes
         .min(usize::try_from(view.limits.body).unwrap_or(usize::MAX));
     if body.size_hint().lower() > longest as u64 {
         // Not a byte of it has to come for that.
@@ -212,9 +212,9 @@
     let mut body = Some(body);
     let mut held = BytesMut::new();
     let mut is_ended = body.as_ref().is_some_and(|body| body.is_end_stream());
-    if router.boot.hold > 0 {
+    if router.boot.buffered_body_bytes > 0 {
         // Whoever sent a whole job is answered when it is read, not amid it.
-        let most = router.boot.hold.min(longest + 1);
+        let most = router.boot.buffered_body_bytes.min(longest + 1);
         let body = body.as_mut().expect("it is taken below");
         is_ended = hold(router, body, &mut held, most).await?;
     }
@@ -224,10 +224,10 @@
         return Err(Refusal::not_run(503, "leaving", text));
     }
     // One is held by the router itself, one by this job.
-    if Arc::strong_count(&router.under_way) > router.boot.jobs + 1 {
+    if Arc::strong_count(&router.under_way) > router.boot.max_requests + 1 {
         let text = format!(
             "{} jobs are under way here; ask another router",
-            router.boot.jobs
+            router.boot.max_requests
         );
         return Err(Refusal::not_run(503, "router-full", text));
     }
@@ -254,7 +254,7 @@
     if let Some(most) = rule.rounds {
         job = job.with_rounds(most);
     }
-    let asked = (router.ports.callers.left_ms)(&head.headers);
+    let asked = (router.extensions.clients.remaining_ms)(&head.headers);
     let deadline = arrived + rule.deadline_ms.min(asked.unwrap_or(u64::MAX));
 
     // The head alone may settle who calls, before a byte of body is read.
@@ -263,7 +263,7 @@
         Field::Known(service) => service,
         _ => "",
     };
-    (router.ports.retries.earn)(arrived, service, view.program.points.retries);
+    (router.extensions.retries.deposit)(arrived, service, view.program.points.retries);
     let mut caller = match rule.is_public {
         true => Some(Caller {
             tenant: String::new(),
@@ -279,7 +279,7 @@
         );
         return Err(Refusal::not_run(401, "no-key", text));
     }
-    let until = tokio::time::Instant::now() + router.boot.head;
+    let until = tokio::time::Instant::now() + router.boot.body_head_timeout;
     while !extract.is_settled() && !is_ended && held.len() < BODY_CAP {
         match tokio::time::timeout_at(until, body.frame()).await {
             Err(_) => {
@@ -363,7 +363,7 @@
     };
     if let Err(refusal) = router
         .quota
-        .admit(&tenant, terms, routers, router.boot.quota)
+        .admit(&tenant, terms, routers, router.boot.quota_wait)
         .await
     {
         router.counters.one("refused-quota");
@@ -411,7 +411,7 @@
     held: &mut BytesMut,
     most: usize,
 ) -> Result<bool, Refusal> {
-    let until = tokio::time::Instant::now() + router.boot.head;
+    let until = tokio::time::Instant::now() + router.boot.body_head_timeout;
     while held.len() < most {
         match tokio::time::timeout_at(until, body.frame()).await {
             Err(_) => {
@@ -635,7 +635,7 @@
         }
     };
     let tenant = Some(&*keyed.tenant);
-    if router.boot.asks_by_key {
+    if router.boot.resolves_by_key_only {
         return ask(router, job, &asker, keyed).await;
     }
     match forward::hand(router, job, parts, carried, tenant, Some(&asker)).await {
@@ -692,7 +692,7 @@
 }
 
 /// Which routers a caller may use, the nearest first.
-pub fn whereabouts(router: &Router, request: &Request) -> Result<Response, Refusal> {
+pub fn lookup_routers(router: &Router, request: &Request) -> Result<Response, Refusal> {
     router.leave()?;
     let view = router.view.borrow().clone();
     let headers = request.headers();
--- a/router/src/ports.rs
+++ b/router/src/extensions.rs
@@ -20,40 +20,40 @@
 type Spending = Arc<dyn Fn(u64, &str, usize) -> bool + Send + Sync>;
 
 /// How callers speak.
-pub struct Callers {
+pub struct ClientAdapter {
     /// The caller's own id for its job.
-    pub id: Reading<String>,
+    pub request_id: Reading<String>,
     /// What the caller says is left of its time.
-    pub left_ms: Reading<u64>,
+    pub remaining_ms: Reading<u64>,
     /// What a refusal looks like.
-    pub refuse: Refusing,
+    pub refusal_response: Refusing,
     /// What an answer carries beside the engine's own headers.
-    pub mark: Marking,
+    pub decorate_response: Marking,
     /// Pages at the doors that are no jobs.
-    pub pages: Paging,
+    pub other_pages: Paging,
 }
 
-impl Default for Callers {
-    fn default() -> Callers {
+impl Default for ClientAdapter {
+    fn default() -> ClientAdapter {
         let text = |headers: &HeaderMap, name: &str| -> Option<String> {
             headers
                 .get(name)
                 .and_then(|value| value.to_str().ok())
                 .map(String::from)
         };
-        Callers {
-            id: Box::new(move |headers| text(headers, JOB)),
-            left_ms: Box::new(move |headers| text(headers, "x-deadline-ms")?.parse().ok()),
-            refuse: Box::new(|refusal, id| refusal.response(id)),
-            mark: Box::new(|headers, id| {
+        ClientAdapter {
+            request_id: Box::new(move |headers| text(headers, JOB)),
+            remaining_ms: Box::new(move |headers| text(headers, "x-deadline-ms")?.parse().ok()),
+            refusal_response: Box::new(|refusal, id| refusal.response(id)),
+            decorate_response: Box::new(|headers, id| {
                 if let Ok(id) = id.parse() {
                     headers.insert(JOB, id);
                 }
             }),
-            pages: Box::new(|router, request| {
+            other_pages: Box::new(|router, request| {
                 let is_where = request.uri().path() == "/where";
                 is_where.then(|| {
-                    let found = crate::whereabouts(router, request);
+                    let found = crate::lookup_routers(router, request);
                     found.unwrap_or_else(|refusal| refusal.response(""))
                 })
             }),
@@ -61,14 +61,14 @@
     }
 }
 
-/// What further rounds cost. `earn` is told of every job that comes in: the time,
-/// its service as far as it is known, and the share of the set point; `spend` asks
+/// What further rounds cost. `deposit` is told of every job that comes in: the time,
+/// its service as far as it is known, and the share of the set point; `withdraw` asks
 /// for one further round, by time, service and how many routers share the fleet's
 /// budget, 0 where that is not known.
 #[derive(Clone)]
 pub struct RetryPolicy {
-    pub earn: Earning,
-    pub spend: Spending,
+    pub deposit: Earning,
+    pub withdraw: Spending,
 }
 
 impl Default for RetryPolicy {
@@ -76,27 +76,27 @@
         let retries = Arc::new(Mutex::new(Retries::default()));
         let earned = Arc::clone(&retries);
         RetryPolicy {
-            earn: Arc::new(move |now, _, share| earned.lock().earn(now, share)),
-            spend: Arc::new(move |now, _, _| retries.lock().spend(now)),
+            deposit: Arc::new(move |now, _, share| earned.lock().earn(now, share)),
+            withdraw: Arc::new(move |now, _, _| retries.lock().spend(now)),
         }
     }
 }
 
 /// One more HTTP server beside the doors.
-pub struct Server {
+pub struct AdditionalServer {
     pub address: SocketAddr,
     pub handler: Handling,
 }
 
 #[derive(Default)]
-pub struct Ports {
-    pub callers: Callers,
+pub struct Extensions {
+    pub clients: ClientAdapter,
     pub carriage: Carriage,
     pub retries: RetryPolicy,
-    pub servers: Vec<Server>,
+    pub servers: Vec<AdditionalServer>,
     /// How far past its quota a tenant may get over all routers, where no job is to
     /// wait for the leader's word.
-    pub margin: Option<Margin>,
+    pub quota_margin: Option<Margin>,
     /// Engines give no vitals: they are known by their answers.
-    pub engines_are_silent: bool,
+    pub uses_passive_health_checks: bool,
 }
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -116,7 +116,7 @@
 /// been sent on it.
 async fn welcomed(router: &Router, node: SocketAddr) -> anyhow::Result<TcpStream> {
     let name = &router.boot.name;
-    let mut stream = link::dial(router.boot.listen, node, Kind::Job, name).await?;
+    let mut stream = link::dial(router.boot.peer_listen_address, node, Kind::Job, name).await?;
     let answer = link::receive(&mut stream, protocol::HELLO_CAP);
     match tokio::time::timeout(WELCOME_PATIENCE, answer).await {
         Ok(Ok(Some(Frame::Welcome))) => Ok(stream),
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -4,14 +4,14 @@
 
 mod company;
 mod door;
+mod extensions;
 mod forward;
 mod layers;
-mod ports;
 mod session;
 mod tidings;
 
-pub use door::whereabouts;
-pub use ports::{Callers, Ports, RetryPolicy, Server};
+pub use door::lookup_routers;
+pub use extensions::{AdditionalServer, ClientAdapter, Extensions, RetryPolicy};
 
 use anyhow::Context;
 use parking_lot::{Mutex, RwLock};
@@ -31,7 +31,7 @@
 use transport::web::{self, Refusal};
 
 /// How long a job may wait for room at an engine, at the most.
-pub const ROOM_WAIT_MS: u64 = 3_000;
+pub const ENGINE_SLOT_WAIT_MS: u64 = 3_000;
 
 /// What a router is told at its start, checked. Times are in milliseconds where
 /// they are numbers.
@@ -39,33 +39,33 @@
     pub name: String,
     pub region: String,
     pub zone: String,
-    pub door: SocketAddr,
-    pub address: SocketAddr,
+    pub ingress_address: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where it listens for its neighbours, and dials from.
-    pub listen: SocketAddr,
-    pub head: Duration,
-    pub quota: Duration,
-    pub jobs: usize,
+    pub peer_listen_address: SocketAddr,
+    pub body_head_timeout: Duration,
+    pub quota_wait: Duration,
+    pub max_requests: usize,
     pub seeds: Vec<SocketAddr>,
-    pub body: usize,
-    pub desk: SocketAddr,
-    pub own_cache: usize,
-    pub share: usize,
+    pub max_body_bytes: usize,
+    pub operator_address: SocketAddr,
+    pub local_cache_entries: usize,
+    pub regional_cache_entries: usize,
     /// How long it still takes jobs after it is told to stop.
-    pub leave: Duration,
+    pub drain_period: Duration,
     /// How long streams may finish in after that.
-    pub stop: Duration,
-    pub room_wait: u64,
+    pub shutdown_grace: Duration,
+    pub slot_wait_ms: u64,
     /// Bytes of a body that are held back for a further round; 0 holds only what
     /// the key needs.
-    pub hold: usize,
+    pub buffered_body_bytes: usize,
     /// Misses go to a directory node by the key alone, never with the body.
-    pub asks_by_key: bool,
+    pub resolves_by_key_only: bool,
     /// How long it goes on after its lease with what it knows, while no directory
     /// node confirms one; by time alone, whatever the cause.
-    pub lease_grace: u64,
+    pub lease_grace_ms: u64,
     /// How often it beats.
-    pub beat: u64,
+    pub heartbeat_interval_ms: u64,
 }
 
 /// What every part of the router holds on to. Invariants: the view's epoch
@@ -86,7 +86,7 @@
     /// The number of the last beat, over all sessions.
     pub beats: AtomicU64,
     pub dispatcher: Dispatcher,
-    pub ports: Ports,
+    pub extensions: Extensions,
     pub counters: Arc<Counters>,
     /// Held by every job that is under way.
     pub under_way: Arc<()>,
@@ -106,7 +106,11 @@
     pub fn leave(&self) -> Result<(), Refusal> {
         let lease = self.lease.load(Ordering::Relaxed);
         // One that never had a lease knows nothing that was in force.
-        let lease_grace = if lease > 0 { self.boot.lease_grace } else { 0 };
+        let lease_grace = if lease > 0 {
+            self.boot.lease_grace_ms
+        } else {
+            0
+        };
         if now() >= lease + lease_grace {
             if lease == 0 {
                 let text = "this router has just begun, and waits for its first lease";
@@ -123,19 +127,19 @@
 ///
 /// # Errors
 /// An address that can't be listened at.
-pub async fn run(settings: Settings, mut ports: Ports) -> anyhow::Result<()> {
+pub async fn run(settings: Settings, mut extensions: Extensions) -> anyhow::Result<()> {
     let counters = Arc::new(Counters::default());
     let (view, view_out) = watch::channel(Arc::new(View::default()));
     let company = Arc::new(RwLock::new(company::Company::default()));
     let known = Arc::clone(&company);
     let peers = Box::new(move || known.read().peers());
-    let roster = match ports.engines_are_silent {
-        true => Roster::by_answers(settings.listen, peers),
-        false => Roster::new(settings.listen, peers),
+    let roster = match extensions.uses_passive_health_checks {
+        true => Roster::by_answers(settings.peer_listen_address, peers),
+        false => Roster::new(settings.peer_listen_address, peers),
     };
     tokio::spawn(Arc::clone(&roster).run(view_out.clone()));
-    let carriage = std::mem::take(&mut ports.carriage);
-    let servers = std::mem::take(&mut ports.servers);
+    let carriage = std::mem::take(&mut extensions.carriage);
+    let servers = std::mem::take(&mut extensions.servers);
     let lanes: Arc<Lanes> = Arc::default();
     if carriage.kept_ms > 0 {
         let (lanes, roster) = (Arc::clone(&lanes), Arc::clone(&roster));
@@ -146,13 +150,13 @@
             }
         });
     }
-    let spend = Arc::clone(&ports.retries.spend);
+    let spend = Arc::clone(&extensions.retries.withdraw);
     let (sharers, fleet) = (Arc::clone(&company), view_out.clone());
     let router = Arc::new_cyclic(|router: &std::sync::Weak<Router>| {
         let router = router.clone();
         let dispatcher = Dispatcher {
-            source: settings.listen,
-            room_wait: settings.room_wait,
+            source: settings.peer_listen_address,
+            room_wait: settings.slot_wait_ms,
             roster,
             view: view_out,
             counters: Arc::clone(&counters),
@@ -178,26 +182,29 @@
             is_leaving: AtomicBool::new(false),
             is_shut: AtomicBool::new(false),
             company,
-            layers: layers::Layers::new(settings.own_cache, settings.share),
+            layers: layers::Layers::new(
+                settings.local_cache_entries,
+                settings.regional_cache_entries,
+            ),
             questions: Default::default(),
-            quota: ports
-                .margin
+            quota: extensions
+                .quota_margin
                 .map_or_else(Quota::default, Quota::without_waiting),
             beats: AtomicU64::new(0),
             dispatcher,
-            ports,
+            extensions,
             counters,
             under_way: Arc::new(()),
             claims: Mutex::default(),
             boot: settings,
         }
     });
-    let listener = tokio::net::TcpListener::bind(router.boot.listen)
+    let listener = tokio::net::TcpListener::bind(router.boot.peer_listen_address)
         .await
-        .with_context(|| format!("listening at {}", router.boot.listen))?;
+        .with_context(|| format!("listening at {}", router.boot.peer_listen_address))?;
     tokio::spawn(company::accept(Arc::clone(&router), listener));
     tokio::spawn(session::run(Arc::clone(&router)));
-    if router.ports.engines_are_silent {
+    if router.extensions.uses_passive_health_checks {
         tokio::spawn(Arc::clone(&router.dispatcher.roster).probe());
         tokio::spawn(tidings::run(Arc::clone(&router)));
     }
@@ -211,14 +218,14 @@
         )?);
     }
     let desk = {
-        let (router, address) = (Arc::clone(&router), router.boot.desk);
+        let (router, address) = (Arc::clone(&router), router.boot.operator_address);
         let handler: web::Handler = Arc::new(move |request| {
             let response = desk_answer(&router, &request);
             Box::pin(async move { response })
         });
         web::serve(address, 1 << 16, handler)?
     };
-    log::info!("router is up at {}", router.boot.door);
+    log::info!("router is up at {}", router.boot.ingress_address);
     transport::wait_for_end().await?;
     // Callers that were told of this router before still come for a while;
     // those who ask from now on are told of others.
@@ -226,10 +233,10 @@
     router.is_leaving.store(true, Ordering::Relaxed);
     router.quota.urgent.notify_one();
     door.leave();
-    tokio::time::sleep(router.boot.leave).await;
+    tokio::time::sleep(router.boot.drain_period).await;
     log::info!("stopping: no new jobs are taken");
     router.is_shut.store(true, Ordering::Relaxed);
-    let until = tokio::time::Instant::now() + router.boot.stop;
+    let until = tokio::time::Instant::now() + router.boot.shutdown_grace;
     while Arc::strong_count(&router.under_way) > 1 && tokio::time::Instant::now() < until {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,7 +1,7 @@
 //! The router's own program: flags and a JSON file, callers and engines by the
 //! project's own interface.
 
-use router::{Ports, Settings, ROOM_WAIT_MS};
+use router::{Extensions, Settings, ENGINE_SLOT_WAIT_MS};
 use std::time::Duration;
 use transport::boot::{setting, Boot, Setting};
 
@@ -102,24 +102,24 @@
         name: boot.name("name"),
         region: boot.name("region"),
         zone: boot.name("zone"),
-        door: boot.address("door"),
-        address,
-        listen: boot.address_or("listen", address),
-        head: Duration::from_millis(boot.count("head-ms", 1, 600_000)),
-        quota: Duration::from_millis(boot.count("quota-ms", 0, 60_000)),
-        jobs: boot.count("jobs", 1, 1 << 20) as usize,
+        ingress_address: boot.address("door"),
+        peer_address: address,
+        peer_listen_address: boot.address_or("listen", address),
+        body_head_timeout: Duration::from_millis(boot.count("head-ms", 1, 600_000)),
+        quota_wait: Duration::from_millis(boot.count("quota-ms", 0, 60_000)),
+        max_requests: boot.count("jobs", 1, 1 << 20) as usize,
         seeds: boot.addresses("seeds"),
-        body: boot.count("body", 1 << 10, 1 << 30) as usize,
-        desk: boot.address("desk"),
-        own_cache: boot.count("own-cache", 1, 1 << 20) as usize,
-        share: boot.count("share", 1, 1 << 24) as usize,
-        leave: Duration::from_millis(boot.count("leave-ms", 0, 600_000)),
-        stop: Duration::from_millis(boot.count("stop-ms", 0, 600_000)),
-        room_wait: ROOM_WAIT_MS,
-        hold: 0,
-        asks_by_key: false,
-        lease_grace: boot.count("lease-grace-ms", 0, 600_000),
-        beat: 350,
+        max_body_bytes: boot.count("body", 1 << 10, 1 << 30) as usize,
+        operator_address: boot.address("desk"),
+        local_cache_entries: boot.count("own-cache", 1, 1 << 20) as usize,
+        regional_cache_entries: boot.count("share", 1, 1 << 24) as usize,
+        drain_period: Duration::from_millis(boot.count("leave-ms", 0, 600_000)),
+        shutdown_grace: Duration::from_millis(boot.count("stop-ms", 0, 600_000)),
+        slot_wait_ms: ENGINE_SLOT_WAIT_MS,
+        buffered_body_bytes: 0,
+        resolves_by_key_only: false,
+        lease_grace_ms: boot.count("lease-grace-ms", 0, 600_000),
+        heartbeat_interval_ms: 350,
     };
     let level = boot.text("level");
     if settings.seeds.is_empty() {
@@ -128,8 +128,8 @@
             "a router needs the address of a directory node at least",
         );
     }
-    let (door, desk) = (settings.door, settings.desk);
-    if door == settings.address || door == desk || settings.address == desk {
+    let (door, desk) = (settings.ingress_address, settings.operator_address);
+    if door == settings.peer_address || door == desk || settings.peer_address == desk {
         boot.complain("door", "door, address and desk can't be the same");
     }
     boot.finish();
@@ -138,7 +138,7 @@
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()?;
-        runtime.block_on(router::run(settings, Ports::default()))?;
+        runtime.block_on(router::run(settings, Extensions::default()))?;
         runtime.shutdown_timeout(Duration::from_millis(200));
         Ok(())
     };
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -168,7 +168,7 @@
 ) -> anyhow::Result<()> {
     let boot = &router.boot;
     following.begin();
-    let stream = link::dial(boot.listen, way, Kind::Router, &boot.name).await?;
+    let stream = link::dial(boot.peer_listen_address, way, Kind::Router, &boot.name).await?;
     let (mut reader, mut writer) = stream.into_split();
     let (out, mut queue) = mpsc::channel(256);
     *router.questions.out.lock() = Some((way, out));
@@ -184,7 +184,7 @@
         }
     });
     let _reading = transport::roster::Aborting(reading.abort_handle());
-    let mut beat = tokio::time::interval(Duration::from_millis(boot.beat));
+    let mut beat = tokio::time::interval(Duration::from_millis(boot.heartbeat_interval_ms));
     beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut lease_valid = now();
     let mut last = 0;
@@ -199,8 +199,8 @@
                     name: boot.name.clone(),
                     region: boot.region.clone(),
                     zone: boot.zone.clone(),
-                    door: boot.door.to_string(),
-                    address: boot.address.to_string(),
+                    door: boot.ingress_address.to_string(),
+                    address: boot.peer_address.to_string(),
                     epoch: router.view.borrow().epoch,
                     age_ms: 0,
                     is_leaving: router.is_leaving.load(Ordering::Relaxed).into(),
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -316,37 +316,37 @@
             name: "edge-1".into(),
             region: "north".into(),
             zone: "north-a".into(),
-            door: at(7_000),
-            address: at(7_001),
-            listen: at(7_001),
-            desk: at(7_002),
-            head: Duration::from_secs(5),
-            quota: Duration::from_secs(1),
-            jobs: 100,
+            ingress_address: at(7_000),
+            peer_address: at(7_001),
+            peer_listen_address: at(7_001),
+            operator_address: at(7_002),
+            body_head_timeout: Duration::from_secs(5),
+            quota_wait: Duration::from_secs(1),
+            max_requests: 100,
             seeds: vec![seed],
-            body: 1 << 20,
-            own_cache: 16,
-            share: 16,
-            leave: Duration::ZERO,
-            stop: Duration::ZERO,
-            room_wait: 0,
-            hold: 0,
-            asks_by_key: false,
-            lease_grace: 0,
-            beat: 100,
+            max_body_bytes: 1 << 20,
+            local_cache_entries: 16,
+            regional_cache_entries: 16,
+            drain_period: Duration::ZERO,
+            shutdown_grace: Duration::ZERO,
+            slot_wait_ms: 0,
+            buffered_body_bytes: 0,
+            resolves_by_key_only: false,
+            lease_grace_ms: 0,
+            heartbeat_interval_ms: 100,
         };
-        let door = settings.door;
+        let door = settings.ingress_address;
         tokio::spawn(async move {
             // No engine stands here, so that none is waited for.
             let carriage = transport::dispatch::Carriage {
                 sight_wait: 0,
                 ..Default::default()
             };
-            let ports = router::Ports {
+            let extensions = router::Extensions {
                 carriage,
                 ..Default::default()
             };
-            router::run(settings, ports).await.expect("it runs");
+            router::run(settings, extensions).await.expect("it runs");
         });
         let site = Site { node, door };
         let until = Instant::now() + PATIENCE;
