--- a/router/src/layers.rs
+++ b/router/src/cache_tiers.rs
@@ -1,4 +1,4 @@
-//! The two cached layers, and who is asking for what just now.
+//! The two cached layers, and the lookups in flight.
 
 use parking_lot::Mutex;
 use placement::{Cache, Hit};
@@ -12,64 +12,64 @@
 /// was resolved before is not to be used or kept, whichever way it came.
 /// Invariant: no touch stands twice.
 #[derive(Default)]
-struct Touches(Vec<(InvalidationScope, u64)>);
+struct Invalidations(Vec<(InvalidationScope, u64)>);
 
 /// Invariants: neither layer holds a mapping that an applied event has made
-/// void; at most one asker per key is in `asking`.
-pub struct Layers {
+/// void; at most one permit per key is in `in_flight`.
+pub struct CacheTiers {
     own: Mutex<Cache<Mapping>>,
     share: Mutex<Cache<Mapping>>,
-    touches: Mutex<Touches>,
-    asking: Mutex<HashMap<String, watch::Receiver<Option<Mapping>>>>,
+    invalidations: Mutex<Invalidations>,
+    in_flight: Mutex<HashMap<String, watch::Receiver<Option<Mapping>>>>,
 }
 
 /// The right to ask for a key, held by one job; the others wait for what it
 /// brings.
-pub struct Asker {
+pub struct LookupPermit {
     key: Arc<str>,
     sender: watch::Sender<Option<Mapping>>,
 }
 
-impl Asker {
+impl LookupPermit {
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    pub fn bring(&self, mapping: &Mapping) {
+    pub fn publish(&self, mapping: &Mapping) {
         self.sender.send_replace(Some(mapping.clone()));
     }
 }
 
-impl Layers {
-    pub fn new(own: usize, share: usize) -> Layers {
-        Layers {
+impl CacheTiers {
+    pub fn new(own: usize, share: usize) -> CacheTiers {
+        CacheTiers {
             own: Mutex::new(Cache::new(own)),
             share: Mutex::new(Cache::new(share)),
-            touches: Mutex::default(),
-            asking: Mutex::default(),
+            invalidations: Mutex::default(),
+            in_flight: Mutex::default(),
         }
     }
 
     pub fn is_void(&self, mapping: &Mapping) -> bool {
-        let touches = self.touches.lock();
-        touches
+        let invalidations = self.invalidations.lock();
+        invalidations
             .0
             .iter()
             .any(|(touch, epoch)| mapping.epoch < *epoch && touch.covers(mapping))
     }
 
     /// Drops what the events of an entry make void.
-    pub fn touch(&self, epoch: u64, events: &[Event]) {
+    pub fn invalidate(&self, epoch: u64, events: &[Event]) {
         for event in events {
             let Event::Touched(touch) = event else {
                 continue;
             };
-            let mut touches = self.touches.lock();
-            touches
+            let mut invalidations = self.invalidations.lock();
+            invalidations
                 .0
                 .retain(|(known, _)| *touch != InvalidationScope::All && known != touch);
-            touches.0.push((touch.clone(), epoch));
-            drop(touches);
+            invalidations.0.push((touch.clone(), epoch));
+            drop(invalidations);
             self.own.lock().drop_where(|mapping| touch.covers(mapping));
             self.share
                 .lock()
@@ -78,16 +78,16 @@
     }
 
     /// A whole new picture: which mappings it makes void is not known.
-    pub fn touch_all(&self, epoch: u64) {
-        self.touch(epoch, &[Event::Touched(InvalidationScope::All)]);
+    pub fn invalidate_all(&self, epoch: u64) {
+        self.invalidate(epoch, &[Event::Touched(InvalidationScope::All)]);
     }
 
-    pub fn own(&self, key: &str) -> Hit<Mapping> {
+    pub fn get_local(&self, key: &str) -> Hit<Mapping> {
         self.own.lock().get(key, now()).0
     }
 
     /// This router's share of the region's layer; times are what is left.
-    pub fn share(&self, key: &str) -> Hit<Mapping> {
+    pub fn get_regional(&self, key: &str) -> Hit<Mapping> {
         let (hit, fresh_ms, expire_ms) = self.share.lock().get(key, now());
         let left = |mapping| Mapping {
             fresh_ms,
@@ -101,11 +101,11 @@
         }
     }
 
-    pub fn keep_own(&self, mapping: &Mapping) {
+    pub fn insert_local(&self, mapping: &Mapping) {
         self.keep(&self.own, mapping);
     }
 
-    pub fn keep_share(&self, mapping: &Mapping) {
+    pub fn insert_regional(&self, mapping: &Mapping) {
         self.keep(&self.share, mapping);
     }
 
@@ -119,19 +119,22 @@
         }
     }
 
-    /// Becomes the asker of a key, or gets what another asker will bring.
-    pub fn ask(&self, key: &str) -> Result<Asker, watch::Receiver<Option<Mapping>>> {
-        let mut asking = self.asking.lock();
-        if let Some(receiver) = asking.get(key) {
+    /// Leads the lookup of a key, or gets what another one's leader will publish.
+    pub fn join_or_lead(
+        &self,
+        key: &str,
+    ) -> Result<LookupPermit, watch::Receiver<Option<Mapping>>> {
+        let mut in_flight = self.in_flight.lock();
+        if let Some(receiver) = in_flight.get(key) {
             // A sender that is gone brings nothing more.
             if receiver.has_changed().is_ok() {
                 return Err(receiver.clone());
             }
         }
         let (sender, receiver) = watch::channel(None);
-        asking.retain(|_, receiver| receiver.has_changed().is_ok());
-        asking.insert(key.to_string(), receiver);
-        Ok(Asker {
+        in_flight.retain(|_, receiver| receiver.has_changed().is_ok());
+        in_flight.insert(key.to_string(), receiver);
+        Ok(LookupPermit {
             key: key.into(),
             sender,
         })
--- a/router/src/extensions.rs
+++ b/router/src/extensions.rs
@@ -23,7 +23,7 @@
 pub struct ClientAdapter {
     /// The caller's own id for its job.
     pub request_id: Reading<String>,
-    /// What the caller says is left of its time.
+    /// What the client says is left of its time.
     pub remaining_ms: Reading<u64>,
     /// What a refusal looks like.
     pub refusal_response: Refusing,
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -1,7 +1,7 @@
 //! The miss path: a job handed to a directory node of the caller's own region
 //! or of a home region, over a connection of its own.
 
-use crate::{company, layers::Asker, Router};
+use crate::{cache_tiers::LookupPermit, membership, Router};
 use bytes::Bytes;
 use dropshot::Body;
 use http_body_util::BodyExt;
@@ -23,12 +23,12 @@
 const WELCOME_PATIENCE: Duration = Duration::from_millis(400);
 
 /// What came of handing a job on.
-pub enum Handed {
-    Answer(Response),
+pub enum ForwardOutcome {
+    Response(Response),
     /// The node left the dispatch to this router, which has the mapping now.
-    Mapped(Mapping),
+    Mapping(Mapping),
     /// No node could be reached; nothing was sent.
-    Nobody,
+    Unreachable,
     Refused(Refusal),
 }
 
@@ -38,15 +38,15 @@
     let view = router.view.borrow().clone();
     let terms = tenant.and_then(|tenant| view.tenants.get(tenant));
     let homes = terms.map_or(&[][..], |terms| &terms.homes[..]);
-    let company = router.company.read();
-    let place = |region: &str| match region == router.boot.region {
+    let membership = router.membership.read();
+    let place = |region: &str| match region == router.settings.region {
         true => Some(0),
         false => homes
             .iter()
             .position(|home| home.0 == region)
             .map(|at| at + 1),
     };
-    let mut nodes: Vec<(usize, u32, SocketAddr)> = company
+    let mut nodes: Vec<(usize, u32, SocketAddr)> = membership
         .directories()
         .iter()
         .filter_map(|member| {
@@ -63,20 +63,20 @@
 
 /// Hands a job in state `Keyed` to the first node that may see its body and can
 /// be reached.
-pub async fn hand(
+pub async fn forward(
     router: &Arc<Router>,
     job: &mut Job,
     parts: &Parts,
     carried: &mut Carried,
     tenant: Option<&str>,
-    asker: Option<&Asker>,
-) -> Handed {
+    permit: Option<&LookupPermit>,
+) -> ForwardOutcome {
     for node in permitted(router, tenant) {
         match welcomed(router, node).await {
             Ok(stream) => {
                 let (reader, writer) = stream.into_split();
-                if let Err(refusal) = router.leave() {
-                    return Handed::Refused(refusal);
+                if let Err(refusal) = router.check_lease() {
+                    return ForwardOutcome::Refused(refusal);
                 }
                 // Homes may have changed while the node was asked.
                 if !permitted(router, tenant).contains(&node) {
@@ -86,12 +86,12 @@
                     parts.key.is_empty() || router.view.borrow().keys.contains_key(&parts.key);
                 if !is_known {
                     let text = "this tenant key was taken away meanwhile";
-                    return Handed::Refused(Refusal::not_run(401, "unknown-key", text));
+                    return ForwardOutcome::Refused(Refusal::not_run(401, "unknown-key", text));
                 }
                 step(job, Event::HandedOn);
                 router.counters.one("forwards");
                 log::info!(job = parts.id.as_str(), directory = node.to_string(); "handed on");
-                let conversation = converse(router, job, parts, carried, asker, reader, writer);
+                let conversation = converse(router, job, parts, carried, permit, reader, writer);
                 let left = Duration::from_millis(parts.deadline.saturating_sub(now()));
                 return match tokio::time::timeout(left, conversation).await {
                     Ok(Ok(handed)) => handed,
@@ -109,27 +109,27 @@
             }
         }
     }
-    Handed::Nobody
+    ForwardOutcome::Unreachable
 }
 
 /// A connection on which a node has said that it is there. Nothing of a job has
 /// been sent on it.
 async fn welcomed(router: &Router, node: SocketAddr) -> anyhow::Result<TcpStream> {
-    let name = &router.boot.name;
-    let mut stream = link::dial(router.boot.peer_listen_address, node, Kind::Job, name).await?;
+    let name = &router.settings.name;
+    let mut stream = link::dial(router.settings.peer_listen_address, node, Kind::Job, name).await?;
     let answer = link::receive(&mut stream, protocol::HELLO_CAP);
     match tokio::time::timeout(WELCOME_PATIENCE, answer).await {
         Ok(Ok(Some(Frame::Welcome))) => Ok(stream),
         Ok(Ok(Some(Frame::Refused { text }))) => anyhow::bail!("{node} refuses: {text}"),
         Ok(Ok(_)) => anyhow::bail!("{node} does not take a job"),
-        Ok(Err(error)) => Err(error.context(format!("asking {node}"))),
+        Ok(Err(error)) => Err(error.context(format!("connecting to {node}"))),
         Err(_) => anyhow::bail!("{node} is silent"),
     }
 }
 
-fn lost(status: u16, code: &'static str, text: &str) -> Handed {
+fn lost(status: u16, code: &'static str, text: &str) -> ForwardOutcome {
     let refusal = Refusal::not_run(status, code, text);
-    Handed::Refused(Refusal {
+    ForwardOutcome::Refused(Refusal {
         outcome: Outcome::Unknown,
         ..refusal
     })
@@ -140,10 +140,10 @@
     job: &mut Job,
     parts: &Parts,
     carried: &mut Carried,
-    asker: Option<&Asker>,
+    permit: Option<&LookupPermit>,
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
-) -> anyhow::Result<Handed> {
+) -> anyhow::Result<ForwardOutcome> {
     let mut headers = parts.headers.clone();
     clean(&mut headers);
     let head = JobHead {
@@ -151,10 +151,10 @@
         method: parts.method.to_string(),
         target: parts.target.clone(),
         headers: headers_to(&headers),
-        region: router.boot.region.clone(),
+        region: router.settings.region.clone(),
         epoch: router.view.borrow().epoch,
         left_ms: parts.deadline.saturating_sub(now()),
-        is_charged: asker.is_some().into(),
+        is_charged: permit.is_some().into(),
     };
     link::send(&mut writer, &Frame::Job(head)).await?;
     link::send(&mut writer, &Frame::Body(carried.held.to_vec())).await?;
@@ -164,25 +164,25 @@
     let mut upload = None;
     if !carried.has_rest() {
         send_end(&mut way).await?;
-    } else if asker.is_none() {
+    } else if permit.is_none() {
         let rest = carried.take_rest();
         upload = rest
             .zip(way.take())
             .map(|(rest, writer)| send_rest(rest, writer));
     }
     let mut mapping: Option<Mapping> = None;
-    let service = asker
-        .and_then(|asker| asker.key().split_once('/'))
+    let service = permit
+        .and_then(|permit| permit.key().split_once('/'))
         .map_or("", |pair| pair.1);
     let has_budget = || (router.dispatcher.budget)(service);
     loop {
         match link::receive(&mut reader, protocol::CAP).await? {
             Some(Frame::Mapped(found)) => {
-                if let Some(asker) = asker {
-                    anyhow::ensure!(found.key() == asker.key(), "it mapped another key");
-                    asker.bring(&found);
+                if let Some(permit) = permit {
+                    anyhow::ensure!(found.key() == permit.key(), "it mapped another key");
+                    permit.publish(&found);
                 }
-                company::keep(router, &found);
+                membership::keep(router, &found);
                 mapping = Some(found);
             }
             Some(Frame::Go) => {
@@ -208,7 +208,7 @@
                 if code == "engines-unreachable" {
                     log::info!(job = parts.id.as_str(); "a further round");
                 }
-                return Ok(Handed::Mapped(mapping.expect("looked at above")));
+                return Ok(ForwardOutcome::Mapping(mapping.expect("looked at above")));
             }
             Some(Frame::Declined {
                 not_run,
@@ -223,7 +223,7 @@
                     refusal.outcome = Outcome::Unknown;
                 }
                 refusal.retry_after_ms = Some(retry_after_ms).filter(|ms| *ms > 0);
-                return Ok(Handed::Refused(refusal));
+                return Ok(ForwardOutcome::Refused(refusal));
             }
             Some(Frame::AnswerHead { status, headers }) => {
                 let (status, headers) =
@@ -249,7 +249,7 @@
                 let mut response = hyper::Response::new(Body::wrap(Piped(body)));
                 *response.status_mut() = status;
                 *response.headers_mut() = headers;
-                return Ok(Handed::Answer(response));
+                return Ok(ForwardOutcome::Response(response));
             }
             Some(other) => anyhow::bail!("an unexpected frame: {other:?}"),
             None => anyhow::bail!("it closed"),
@@ -300,12 +300,12 @@
         let end = loop {
             let frame = tokio::select! {
                 frame = tokio::time::timeout(IDLE, link::receive(&mut self.reader, protocol::CAP)) => frame,
-                () = self.pieces.closed() => anyhow::bail!("the caller left"),
+                () = self.pieces.closed() => anyhow::bail!("the client left"),
             };
             match frame {
                 Ok(Ok(Some(Frame::AnswerBody(bytes)))) => {
                     if self.pieces.send(Ok(bytes.into())).await.is_err() {
-                        anyhow::bail!("the caller left");
+                        anyhow::bail!("the client left");
                     }
                 }
                 Ok(Ok(Some(Frame::AnswerEnd))) => return Ok(()),
--- a/router/src/door.rs
+++ b/router/src/ingress.rs
@@ -1,8 +1,8 @@
 //! The doors: a caller's job from its head to its answer.
 
-use crate::forward::{self, Handed};
-use crate::layers::Asker;
-use crate::{company, Router};
+use crate::cache_tiers::LookupPermit;
+use crate::forward::{self, ForwardOutcome};
+use crate::{membership, Router};
 use anyhow::Context;
 use bytes::BytesMut;
 use dropshot::Body;
@@ -25,7 +25,7 @@
 const RESOLVE_PATIENCE: Duration = Duration::from_millis(1_000);
 
 pub async fn serve(router: Arc<Router>) -> anyhow::Result<Arc<Doors>> {
-    let address = router.boot.ingress_address;
+    let address = router.settings.ingress_address;
     let listener = tokio::net::TcpListener::bind(address)
         .await
         .with_context(|| format!("listening at {address}"))?;
@@ -52,7 +52,7 @@
 
 async fn open(router: &Router) {
     let until = tokio::time::Instant::now() + OPEN_PATIENCE;
-    while router.leave().is_err() && tokio::time::Instant::now() < until {
+    while router.check_lease().is_err() && tokio::time::Instant::now() < until {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -73,7 +73,7 @@
     }
     let id = job_id(&router, &request);
     router.counters.one("jobs");
-    let under_way = Arc::clone(&router.under_way);
+    let in_flight = Arc::clone(&router.in_flight);
     let mut claim = None;
     match take(&router, request, &id, &mut claim).await {
         Ok(response) => {
@@ -81,7 +81,7 @@
             (clients.decorate_response)(&mut head.headers, &id);
             // The job is under way until its last byte is out.
             let body = body.map_err(move |error| {
-                let _ = (&under_way, &claim);
+                let _ = (&in_flight, &claim);
                 error
             });
             Response::from_parts(head, Body::wrap(body))
@@ -127,7 +127,7 @@
 
 /// Who calls, and the digest of the key that says so.
 #[derive(Clone)]
-struct Caller {
+struct Client {
     tenant: String,
     key: String,
 }
@@ -166,13 +166,13 @@
     }
 
     /// The tenant of a key that was read; an unknown key goes no further.
-    fn tenant(&self, extract: &Extract) -> Result<Option<Caller>, Refusal> {
+    fn tenant(&self, extract: &Extract) -> Result<Option<Client>, Refusal> {
         let Field::Known(key) = &extract.tenant else {
             return Ok(None);
         };
         let key = policy::fingerprint(key);
         match self.view.keys.get(&key) {
-            Some(tenant) => Ok(Some(Caller {
+            Some(tenant) => Ok(Some(Client {
                 tenant: tenant.clone(),
                 key,
             })),
@@ -201,33 +201,33 @@
     }
     let view = router.view.borrow().clone();
     let longest = router
-        .boot
+        .settings
         .max_body_bytes
         .min(usize::try_from(view.limits.body).unwrap_or(usize::MAX));
     if body.size_hint().lower() > longest as u64 {
         // Not a byte of it has to come for that.
-        router.leave()?;
+        router.check_lease()?;
         return Err(long_body(longest));
     }
     let mut body = Some(body);
     let mut held = BytesMut::new();
     let mut is_ended = body.as_ref().is_some_and(|body| body.is_end_stream());
-    if router.boot.buffered_body_bytes > 0 {
+    if router.settings.buffered_body_bytes > 0 {
         // Whoever sent a whole job is answered when it is read, not amid it.
-        let most = router.boot.buffered_body_bytes.min(longest + 1);
+        let most = router.settings.buffered_body_bytes.min(longest + 1);
         let body = body.as_mut().expect("it is taken below");
         is_ended = hold(router, body, &mut held, most).await?;
     }
-    router.leave()?;
-    if router.is_shut.load(Ordering::Relaxed) {
+    router.check_lease()?;
+    if router.is_stopped.load(Ordering::Relaxed) {
         let text = "this router is stopping; ask another";
         return Err(Refusal::not_run(503, "leaving", text));
     }
     // One is held by the router itself, one by this job.
-    if Arc::strong_count(&router.under_way) > router.boot.max_requests + 1 {
+    if Arc::strong_count(&router.in_flight) > router.settings.max_requests + 1 {
         let text = format!(
             "{} jobs are under way here; ask another router",
-            router.boot.max_requests
+            router.settings.max_requests
         );
         return Err(Refusal::not_run(503, "router-full", text));
     }
@@ -264,22 +264,22 @@
         _ => "",
     };
     (router.extensions.retries.deposit)(arrived, service, view.program.points.retries);
-    let mut caller = match rule.is_public {
-        true => Some(Caller {
+    let mut client = match rule.is_public {
+        true => Some(Client {
             tenant: String::new(),
             key: String::new(),
         }),
         false => reader.tenant(&extract)?,
     };
     let door = &view.program.doors[rule.door];
-    if caller.is_none() && extract.tenant == Field::Missing && door.tenant.is_cheap() {
+    if client.is_none() && extract.tenant == Field::Missing && door.tenant.is_cheap() {
         let text = format!(
             "door {} finds no tenant key where it should stand",
             door.name
         );
         return Err(Refusal::not_run(401, "no-key", text));
     }
-    let until = tokio::time::Instant::now() + router.boot.body_head_timeout;
+    let until = tokio::time::Instant::now() + router.settings.body_head_timeout;
     while !extract.is_settled() && !is_ended && held.len() < BODY_CAP {
         match tokio::time::timeout_at(until, body.frame()).await {
             Err(_) => {
@@ -299,13 +299,13 @@
             }
         }
         extract = reader.extract(route, &held, is_ended);
-        if caller.is_none() {
-            caller = reader.tenant(&extract)?;
+        if client.is_none() {
+            client = reader.tenant(&extract)?;
         }
     }
     step(&mut job, Event::KeyRead);
-    if let Some(caller) = caller.as_ref().filter(|_| !rule.is_public) {
-        *claim = Some(Claim::new(router, &caller.key, id)?);
+    if let Some(client) = client.as_ref().filter(|_| !rule.is_public) {
+        *claim = Some(Claim::new(router, &client.key, id)?);
     }
     // Also where the piece that went past the cap was the last one.
     let is_past_cap = held.len() >= BODY_CAP;
@@ -321,20 +321,20 @@
         method: head.method.clone(),
         target,
         headers: head.headers.clone(),
-        key: caller
+        key: client
             .as_ref()
-            .map_or(String::new(), |caller| caller.key.clone()),
+            .map_or(String::new(), |client| client.key.clone()),
         deadline,
         prompt: reader.with(|head| view.program.prompt(rule, head)),
-        urgency: caller
+        urgency: client
             .as_ref()
-            .and_then(|caller| view.tenants.get(&caller.tenant))
+            .and_then(|client| view.tenants.get(&client.tenant))
             .map(|terms| terms.urgency)
             .filter(|urgency| *urgency != u8::MAX)
             .or(rule.urgency),
         aim_ms: rule.aim_ms.unwrap_or(0),
     };
-    let tenant = caller.map(|caller| caller.tenant);
+    let tenant = client.map(|client| client.tenant);
     let (tenant, service) = match (&tenant, &extract.service) {
         (Some(tenant), Field::Known(service)) => (tenant.clone(), service.clone()),
         _ if is_past_cap => return unkeyed(router, job, &parts, &mut carried, tenant).await,
@@ -359,11 +359,11 @@
         .map_or((0, 0), |terms| (terms.pace, terms.burst));
     let routers = match view.fleet as usize {
         0 => 0,
-        known => known.max(router.company.read().count()),
+        known => known.max(router.membership.read().count()),
     };
     if let Err(refusal) = router
         .quota
-        .admit(&tenant, terms, routers, router.boot.quota_wait)
+        .admit(&tenant, terms, routers, router.settings.quota_wait)
         .await
     {
         router.counters.one("refused-quota");
@@ -411,7 +411,7 @@
     held: &mut BytesMut,
     most: usize,
 ) -> Result<bool, Refusal> {
-    let until = tokio::time::Instant::now() + router.boot.body_head_timeout;
+    let until = tokio::time::Instant::now() + router.settings.body_head_timeout;
     while held.len() < most {
         match tokio::time::timeout_at(until, body.frame()).await {
             Err(_) => {
@@ -477,10 +477,10 @@
     tenant: Option<String>,
 ) -> Result<Response, Refusal> {
     router.counters.one("unkeyed");
-    match forward::hand(router, &mut job, parts, carried, tenant.as_deref(), None).await {
-        Handed::Answer(response) => Ok(response),
-        Handed::Refused(refusal) => Err(refusal),
-        Handed::Mapped(_) | Handed::Nobody => {
+    match forward::forward(router, &mut job, parts, carried, tenant.as_deref(), None).await {
+        ForwardOutcome::Response(response) => Ok(response),
+        ForwardOutcome::Refused(refusal) => Err(refusal),
+        ForwardOutcome::Mapping(_) | ForwardOutcome::Unreachable => {
             let text = "its key is not to be found early enough, and no directory node may see it";
             Err(Refusal::not_run(503, "no-directory", text).retry(2_000))
         }
@@ -534,7 +534,7 @@
 /// What the two layers hold. A stale hit is used at once and refreshed behind.
 async fn known(router: &Arc<Router>, key: &str, keyed: &Keyed) -> Option<Mapping> {
     let count = |name| router.counters.one(name);
-    match router.layers.own(key) {
+    match router.cache_tiers.get_local(key) {
         Hit::Fresh(mapping) => {
             count("own-fresh");
             return Some(mapping);
@@ -546,10 +546,10 @@
         }
         Hit::Miss => {}
     }
-    match company::look(router, key).await {
+    match membership::look(router, key).await {
         Hit::Fresh(mapping) => {
             count("shared-fresh");
-            router.layers.keep_own(&mapping);
+            router.cache_tiers.insert_local(&mapping);
             Some(mapping)
         }
         Hit::Stale(mapping) => {
@@ -566,7 +566,7 @@
 
 /// Asks for a key behind the job that used its stale mapping.
 fn refresh(router: &Arc<Router>, key: &str, keyed: &Keyed) {
-    let Ok(asker) = router.layers.ask(key) else {
+    let Ok(permit) = router.cache_tiers.join_or_lead(key) else {
         return;
     };
     let (router, tenant, service) = (
@@ -577,14 +577,14 @@
     tokio::spawn(async move {
         tokio::time::sleep(transport::jitter(20)).await;
         router.counters.one("refreshes");
-        let region = &router.boot.region;
+        let region = &router.settings.region;
         let answer = router
-            .questions
+            .pending_lookups
             .resolve(&tenant, &service, region, RESOLVE_PATIENCE)
             .await;
         if let Answer::Mapping(mapping) = answer {
-            company::keep(&router, &mapping);
-            asker.bring(&mapping);
+            membership::keep(&router, &mapping);
+            permit.publish(&mapping);
         }
     });
 }
@@ -604,20 +604,20 @@
     key: &str,
     keyed: &Keyed,
 ) -> Result<Missed, Refusal> {
-    let asker = loop {
-        match router.layers.ask(key) {
-            Ok(asker) => break asker,
+    let permit = loop {
+        match router.cache_tiers.join_or_lead(key) {
+            Ok(permit) => break permit,
             Err(mut brought) => {
                 router.counters.one("joined");
                 let wait = brought.wait_for(|mapping| mapping.is_some());
                 match tokio::time::timeout(JOIN_PATIENCE, wait).await {
                     Ok(Ok(mapping)) => {
                         let mapping = mapping.clone().expect("waited for");
-                        if !router.layers.is_void(&mapping) {
+                        if !router.cache_tiers.is_void(&mapping) {
                             return Ok(Missed::Mapping(mapping));
                         }
                     }
-                    // The asker went without a mapping; become the asker.
+                    // The leader went without a mapping; lead the lookup.
                     Ok(Err(_)) => {}
                     Err(_) => {
                         let text = "the mapping of this key did not come in time";
@@ -635,15 +635,15 @@
         }
     };
     let tenant = Some(&*keyed.tenant);
-    if router.boot.resolves_by_key_only {
-        return ask(router, job, &asker, keyed).await;
+    if router.settings.resolves_by_key_only {
+        return ask(router, job, &permit, keyed).await;
     }
-    match forward::hand(router, job, parts, carried, tenant, Some(&asker)).await {
-        Handed::Answer(response) => return Ok(Missed::Answer(response)),
-        Handed::Mapped(mapping) => return Ok(Missed::Mapping(mapping)),
+    match forward::forward(router, job, parts, carried, tenant, Some(&permit)).await {
+        ForwardOutcome::Response(response) => return Ok(Missed::Answer(response)),
+        ForwardOutcome::Mapping(mapping) => return Ok(Missed::Mapping(mapping)),
         // Lost on the way, but repeatable, still whole here, and in budget: by
         // the key alone, so that no second node has to be asked for its place.
-        Handed::Refused(_)
+        ForwardOutcome::Refused(_)
             if job.state() == State::Keyed
                 && carried.is_whole()
                 && (router.dispatcher.budget)(&keyed.service) =>
@@ -651,29 +651,29 @@
             router.counters.one("retries");
             log::info!(job = parts.id.as_str(); "a further round");
         }
-        Handed::Refused(refusal) => return Err(refusal),
-        Handed::Nobody => {}
+        ForwardOutcome::Refused(refusal) => return Err(refusal),
+        ForwardOutcome::Unreachable => {}
     }
-    ask(router, job, &asker, keyed).await
+    ask(router, job, &permit, keyed).await
 }
 
 /// No node is to see the body: the key alone, to whichever holds the session.
 async fn ask(
     router: &Arc<Router>,
     job: &Job,
-    asker: &Asker,
+    permit: &LookupPermit,
     keyed: &Keyed,
 ) -> Result<Missed, Refusal> {
     router.counters.one("key-only");
-    let region = &router.boot.region;
+    let region = &router.settings.region;
     match router
-        .questions
+        .pending_lookups
         .resolve(&keyed.tenant, &keyed.service, region, RESOLVE_PATIENCE)
         .await
     {
         Answer::Mapping(mapping) => {
-            company::keep(router, &mapping);
-            asker.bring(&mapping);
+            membership::keep(router, &mapping);
+            permit.publish(&mapping);
             Ok(Missed::Mapping(mapping))
         }
         Answer::None { code, text } => Err(Refusal {
@@ -691,9 +691,9 @@
     }
 }
 
-/// Which routers a caller may use, the nearest first.
+/// Which routers a client may use, the nearest first.
 pub fn lookup_routers(router: &Router, request: &Request) -> Result<Response, Refusal> {
-    router.leave()?;
+    router.check_lease()?;
     let view = router.view.borrow().clone();
     let headers = request.headers();
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
@@ -709,7 +709,7 @@
             "this tenant key is not known",
         ));
     };
-    let zone = web::query(request.uri(), "zone").unwrap_or(router.boot.zone.clone());
+    let zone = web::query(request.uri(), "zone").unwrap_or(router.settings.zone.clone());
     let Some(region) = view.zones.get(&zone) else {
         return Err(Refusal::not_run(
             400,
@@ -721,8 +721,8 @@
     let homes: Vec<&str> = view.tenants.get(tenant).map_or(Vec::new(), |terms| {
         terms.homes.iter().map(|home| home.0.as_str()).collect()
     });
-    let company = router.company.read();
-    let mut fronts: Vec<(u8, usize, u32, &protocol::Front)> = company
+    let membership = router.membership.read();
+    let mut fronts: Vec<(u8, usize, u32, &protocol::Front)> = membership
         .fronts()
         .filter(|front| front.is_leaving == 0 && !view.evacuated.contains(&front.zone))
         .filter_map(|front| {
@@ -738,7 +738,7 @@
         .collect();
     fronts.sort_by_key(|(far, home, draw, _)| (*far, *home, *draw));
     if fronts.is_empty() {
-        let text = "no router that this caller may use is in sight";
+        let text = "no router that this client may use is in sight";
         return Err(Refusal::not_run(503, "no-router", text).retry(2_000));
     }
     let routers: Vec<simd_json::OwnedValue> = fronts
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -2,16 +2,16 @@
 //! looks it up in its own cache and the region's, and streams to an engine; a
 //! miss goes to a directory node.
 
-mod company;
-mod door;
+mod cache_tiers;
 mod extensions;
 mod forward;
-mod layers;
+mod ingress;
+mod load_gossip;
+mod membership;
 mod session;
-mod tidings;
 
-pub use door::lookup_routers;
 pub use extensions::{AdditionalServer, ClientAdapter, Extensions, RetryPolicy};
+pub use ingress::lookup_routers;
 
 use anyhow::Context;
 use parking_lot::{Mutex, RwLock};
@@ -64,7 +64,7 @@
     /// How long it goes on after its lease with what it knows, while no directory
     /// node confirms one; by time alone, whatever the cause.
     pub lease_grace_ms: u64,
-    /// How often it beats.
+    /// How often it heartbeats.
     pub heartbeat_interval_ms: u64,
 }
 
@@ -72,24 +72,24 @@
 /// only rises; `lease` is the time, on this process's clock, until which it
 /// may dispatch.
 pub struct Router {
-    pub boot: Settings,
+    pub settings: Settings,
     pub view: watch::Sender<Arc<View>>,
     pub lease: AtomicU64,
     /// It is going, and says so; callers are sent elsewhere.
-    pub is_leaving: AtomicBool,
+    pub is_draining: AtomicBool,
     /// It takes no new jobs.
-    pub is_shut: AtomicBool,
-    pub company: Arc<RwLock<company::Company>>,
-    pub layers: layers::Layers,
-    pub questions: session::Questions,
+    pub is_stopped: AtomicBool,
+    pub membership: Arc<RwLock<membership::Membership>>,
+    pub cache_tiers: cache_tiers::CacheTiers,
+    pub pending_lookups: session::PendingLookups,
     pub quota: Quota,
     /// The number of the last beat, over all sessions.
-    pub beats: AtomicU64,
+    pub heartbeats: AtomicU64,
     pub dispatcher: Dispatcher,
     pub extensions: Extensions,
     pub counters: Arc<Counters>,
     /// Held by every job that is under way.
-    pub under_way: Arc<()>,
+    pub in_flight: Arc<()>,
     /// The ids that are under way, each with the digest of its tenant key.
     pub claims: Mutex<HashSet<(String, String)>>,
 }
@@ -98,16 +98,16 @@
     /// Whether callers are to be sent here.
     pub fn is_ready(&self) -> bool {
         self.view.borrow().epoch > 0
-            && !self.is_leaving.load(Ordering::Relaxed)
-            && self.leave().is_ok()
+            && !self.is_draining.load(Ordering::Relaxed)
+            && self.check_lease().is_ok()
     }
 
     /// Whether new work may be taken and dispatched now.
-    pub fn leave(&self) -> Result<(), Refusal> {
+    pub fn check_lease(&self) -> Result<(), Refusal> {
         let lease = self.lease.load(Ordering::Relaxed);
         // One that never had a lease knows nothing that was in force.
         let lease_grace = if lease > 0 {
-            self.boot.lease_grace_ms
+            self.settings.lease_grace_ms
         } else {
             0
         };
@@ -130,8 +130,8 @@
 pub async fn run(settings: Settings, mut extensions: Extensions) -> anyhow::Result<()> {
     let counters = Arc::new(Counters::default());
     let (view, view_out) = watch::channel(Arc::new(View::default()));
-    let company = Arc::new(RwLock::new(company::Company::default()));
-    let known = Arc::clone(&company);
+    let membership = Arc::new(RwLock::new(membership::Membership::default()));
+    let known = Arc::clone(&membership);
     let peers = Box::new(move || known.read().peers());
     let roster = match extensions.uses_passive_health_checks {
         true => Roster::by_answers(settings.peer_listen_address, peers),
@@ -151,7 +151,7 @@
         });
     }
     let spend = Arc::clone(&extensions.retries.withdraw);
-    let (sharers, fleet) = (Arc::clone(&company), view_out.clone());
+    let (sharers, fleet) = (Arc::clone(&membership), view_out.clone());
     let router = Arc::new_cyclic(|router: &std::sync::Weak<Router>| {
         let router = router.clone();
         let dispatcher = Dispatcher {
@@ -166,11 +166,11 @@
                 spend(now(), service, known)
             }),
             leave: Arc::new(move |mapping| match router.upgrade() {
-                Some(router) if router.layers.is_void(mapping) => {
+                Some(router) if router.cache_tiers.is_void(mapping) => {
                     let text = "the mapping changed meanwhile";
                     Err(Refusal::not_run(503, "mapping-void", text))
                 }
-                Some(router) => router.leave(),
+                Some(router) => router.check_lease(),
                 None => Err(Refusal::not_run(503, "leaving", "this router is stopping")),
             }),
             carriage,
@@ -179,36 +179,36 @@
         Router {
             view,
             lease: AtomicU64::new(0),
-            is_leaving: AtomicBool::new(false),
-            is_shut: AtomicBool::new(false),
-            company,
-            layers: layers::Layers::new(
+            is_draining: AtomicBool::new(false),
+            is_stopped: AtomicBool::new(false),
+            membership,
+            cache_tiers: cache_tiers::CacheTiers::new(
                 settings.local_cache_entries,
                 settings.regional_cache_entries,
             ),
-            questions: Default::default(),
+            pending_lookups: Default::default(),
             quota: extensions
                 .quota_margin
                 .map_or_else(Quota::default, Quota::without_waiting),
-            beats: AtomicU64::new(0),
+            heartbeats: AtomicU64::new(0),
             dispatcher,
             extensions,
             counters,
-            under_way: Arc::new(()),
+            in_flight: Arc::new(()),
             claims: Mutex::default(),
-            boot: settings,
+            settings,
         }
     });
-    let listener = tokio::net::TcpListener::bind(router.boot.peer_listen_address)
+    let listener = tokio::net::TcpListener::bind(router.settings.peer_listen_address)
         .await
-        .with_context(|| format!("listening at {}", router.boot.peer_listen_address))?;
-    tokio::spawn(company::accept(Arc::clone(&router), listener));
+        .with_context(|| format!("listening at {}", router.settings.peer_listen_address))?;
+    tokio::spawn(membership::accept(Arc::clone(&router), listener));
     tokio::spawn(session::run(Arc::clone(&router)));
     if router.extensions.uses_passive_health_checks {
         tokio::spawn(Arc::clone(&router.dispatcher.roster).probe());
-        tokio::spawn(tidings::run(Arc::clone(&router)));
+        tokio::spawn(load_gossip::run(Arc::clone(&router)));
     }
-    let door = door::serve(Arc::clone(&router)).await?;
+    let ingress = ingress::serve(Arc::clone(&router)).await?;
     let mut running = Vec::new();
     for server in servers {
         running.push(web::serve(
@@ -217,54 +217,54 @@
             (server.handler)(Arc::clone(&router)),
         )?);
     }
-    let desk = {
-        let (router, address) = (Arc::clone(&router), router.boot.operator_address);
+    let operator_api = {
+        let (router, address) = (Arc::clone(&router), router.settings.operator_address);
         let handler: web::Handler = Arc::new(move |request| {
-            let response = desk_answer(&router, &request);
+            let response = operator_response(&router, &request);
             Box::pin(async move { response })
         });
         web::serve(address, 1 << 16, handler)?
     };
-    log::info!("router is up at {}", router.boot.ingress_address);
+    log::info!("router is up at {}", router.settings.ingress_address);
     transport::wait_for_end().await?;
     // Callers that were told of this router before still come for a while;
     // those who ask from now on are told of others.
     log::info!("leaving");
-    router.is_leaving.store(true, Ordering::Relaxed);
+    router.is_draining.store(true, Ordering::Relaxed);
     router.quota.urgent.notify_one();
-    door.leave();
-    tokio::time::sleep(router.boot.drain_period).await;
+    ingress.leave();
+    tokio::time::sleep(router.settings.drain_period).await;
     log::info!("stopping: no new jobs are taken");
-    router.is_shut.store(true, Ordering::Relaxed);
-    let until = tokio::time::Instant::now() + router.boot.shutdown_grace;
-    while Arc::strong_count(&router.under_way) > 1 && tokio::time::Instant::now() < until {
+    router.is_stopped.store(true, Ordering::Relaxed);
+    let until = tokio::time::Instant::now() + router.settings.shutdown_grace;
+    while Arc::strong_count(&router.in_flight) > 1 && tokio::time::Instant::now() < until {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let left = Arc::strong_count(&router.under_way) - 1;
+    let left = Arc::strong_count(&router.in_flight) - 1;
     log::info!(left = left as u64; "stopped");
     // Streams past the bound are cut off, visibly.
-    door.shut();
-    drop(tokio::time::timeout(Duration::from_millis(100), desk.close()).await);
+    ingress.shut();
+    drop(tokio::time::timeout(Duration::from_millis(100), operator_api.close()).await);
     Ok(())
 }
 
-fn desk_answer(router: &Router, request: &web::Request) -> web::Response {
+fn operator_response(router: &Router, request: &web::Request) -> web::Response {
     let view = router.view.borrow().clone();
-    let is_well = router.leave().is_ok();
+    let is_well = router.check_lease().is_ok();
     match (request.method().as_str(), request.uri().path()) {
         ("GET", "/vitals") => {
             let lease = router.lease.load(Ordering::Relaxed).saturating_sub(now());
             let value = simd_json::json!({
-                "name": router.boot.name.clone(),
+                "name": router.settings.name.clone(),
                 "well": is_well,
                 "lease_ms": lease,
                 "epoch": view.epoch,
-                "leaving": router.is_leaving.load(Ordering::Relaxed),
-                "under_way": Arc::strong_count(&router.under_way) - 1,
-                "session": router.questions.node(),
-                "neighbours": company::neighbours(router),
-                "cached": router.layers.sizes().0,
-                "cached_share": router.layers.sizes().1,
+                "leaving": router.is_draining.load(Ordering::Relaxed),
+                "under_way": Arc::strong_count(&router.in_flight) - 1,
+                "session": router.pending_lookups.node(),
+                "neighbours": membership::neighbours(router),
+                "cached": router.cache_tiers.sizes().0,
+                "cached_share": router.cache_tiers.sizes().1,
                 "engines": router.dispatcher.roster.value(view.program.points.fill),
             });
             web::json(if is_well { 200 } else { 503 }, &value)
--- a/router/src/tidings.rs
+++ b/router/src/load_gossip.rs
@@ -5,7 +5,7 @@
 //! Within a region everybody tells everybody, in batches that grow with their
 //! number. To each other region one router is told, which passes it on there.
 
-use crate::{company, Router};
+use crate::{membership, Router};
 use placement::News;
 use protocol::{Frame, Front, Kept, Load};
 use std::collections::HashMap;
@@ -40,10 +40,11 @@
 
 /// The other routers of this region.
 fn near(router: &Router) -> Vec<SocketAddr> {
-    let is_near =
-        |front: &&Front| front.region == router.boot.region && front.name != router.boot.name;
-    let company = router.company.read();
-    company
+    let is_near = |front: &&Front| {
+        front.region == router.settings.region && front.name != router.settings.name
+    };
+    let membership = router.membership.read();
+    membership
         .fronts()
         .filter(is_near)
         .filter_map(|f| f.address.parse().ok())
@@ -52,10 +53,13 @@
 
 /// One router of each other region, by rank for this one.
 fn far(router: &Router) -> Vec<SocketAddr> {
-    let own = policy::mark(router.boot.name.as_bytes());
-    let company = router.company.read();
+    let own = policy::mark(router.settings.name.as_bytes());
+    let membership = router.membership.read();
     let mut regions: HashMap<&str, (u64, &Front)> = HashMap::new();
-    for front in company.fronts().filter(|f| f.region != router.boot.region) {
+    for front in membership
+        .fronts()
+        .filter(|f| f.region != router.settings.region)
+    {
         let rank = placement::rank(own, policy::mark(front.name.as_bytes()));
         let best = regions.entry(&front.region).or_insert((rank, front));
         if rank > best.0 {
@@ -70,7 +74,7 @@
 
 fn tell(router: &Arc<Router>, to: &[SocketAddr], frame: &Frame) {
     for address in to {
-        company::tell(router, *address, frame.clone());
+        membership::tell(router, *address, frame.clone());
     }
 }
 
@@ -89,12 +93,12 @@
     };
     router.dispatcher.roster.told(from, &news);
     let is_far = {
-        let company = router.company.read();
-        let region = company
+        let membership = router.membership.read();
+        let region = membership
             .fronts()
             .find(|front| front.name == from)
             .map(|f| &f.region);
-        region.is_some_and(|region| *region != router.boot.region)
+        region.is_some_and(|region| *region != router.settings.region)
     };
     if is_far && !is_relayed {
         tell(router, &near(router), &frame(from, true, &news));
@@ -116,7 +120,7 @@
             tell(
                 &router,
                 &neighbours,
-                &frame(&router.boot.name, false, &news),
+                &frame(&router.settings.name, false, &news),
             );
         }
         for load in news.loads {
@@ -130,7 +134,7 @@
             tell(
                 &router,
                 &far(&router),
-                &frame(&router.boot.name, false, &for_far),
+                &frame(&router.settings.name, false, &for_far),
             );
             (for_far, told_far) = (News::default(), transport::now());
         }
--- a/router/src/company.rs
+++ b/router/src/membership.rs
@@ -22,14 +22,14 @@
 
 /// Soft knowledge, from what a directory node tells.
 #[derive(Default)]
-pub struct Company {
+pub struct Membership {
     known: placement::Company,
     /// The marks of the routers that may begin work at cold engines.
     marks: Vec<u64>,
     /// When it was last told, and since when it has told of this router.
     told: u64,
     listed: Option<u64>,
-    links: Mutex<HashMap<SocketAddr, Neighbour>>,
+    links: Mutex<HashMap<SocketAddr, PeerLink>>,
 }
 
 /// The others may not know of a router that was not told of for so long, nor it
@@ -37,7 +37,7 @@
 /// 875 ms, at the latest.
 const SETTLED_MS: u64 = 1_300;
 
-impl Company {
+impl Membership {
     pub fn take(&mut self, name: &str, news: &News) {
         let (at, has_gap) = (now(), now() >= self.told + SETTLED_MS);
         self.known.take(news);
@@ -87,7 +87,7 @@
 }
 
 #[derive(Clone)]
-struct Neighbour {
+struct PeerLink {
     out: mpsc::Sender<Frame>,
     looks: Looks,
 }
@@ -95,22 +95,22 @@
 /// Other routers of the region that share its cache.
 pub fn neighbours(router: &Router) -> usize {
     let is_one = |front: &&Front| {
-        front.region == router.boot.region
+        front.region == router.settings.region
             && front.is_leaving == 0
-            && front.name != router.boot.name
+            && front.name != router.settings.name
     };
-    router.company.read().fronts().filter(is_one).count()
+    router.membership.read().fronts().filter(is_one).count()
 }
 
 /// The router that holds a key's share of the region's cache, by rendezvous
 /// over those of the region. `None`: this one.
 fn owner(router: &Router, key: &str) -> Option<SocketAddr> {
-    let company = router.company.read();
-    let own = (router.boot.name.as_str(), None);
-    let others = company
+    let membership = router.membership.read();
+    let own = (router.settings.name.as_str(), None);
+    let others = membership
         .fronts()
-        .filter(|front| front.region == router.boot.region && front.is_leaving == 0)
-        .filter(|front| front.name != router.boot.name)
+        .filter(|front| front.region == router.settings.region && front.is_leaving == 0)
+        .filter(|front| front.name != router.settings.name)
         .filter_map(|front| Some((front.name.as_str(), Some(front.address.parse().ok()?))));
     let number = |text: &str| policy::mark(text.as_bytes());
     let key = number(key);
@@ -120,21 +120,21 @@
         .and_then(|(_, address)| address)
 }
 
-fn neighbour(router: &Arc<Router>, to: SocketAddr) -> Neighbour {
-    let company = router.company.read();
-    let mut links = company.links.lock();
+fn neighbour(router: &Arc<Router>, to: SocketAddr) -> PeerLink {
+    let membership = router.membership.read();
+    let mut links = membership.links.lock();
     if let Some(known) = links.get(&to).filter(|known| !known.out.is_closed()) {
         return known.clone();
     }
     let (out, queue) = mpsc::channel(256);
-    let fresh = Neighbour {
+    let fresh = PeerLink {
         out,
         looks: Looks::default(),
     };
     links.insert(to, fresh.clone());
     let (name, source, looks) = (
-        router.boot.name.clone(),
-        router.boot.peer_listen_address,
+        router.settings.name.clone(),
+        router.settings.peer_listen_address,
         Arc::clone(&fresh.looks),
     );
     tokio::spawn(async move {
@@ -180,7 +180,7 @@
 /// Looks a key up in the region's layer. Failing is a miss.
 pub async fn look(router: &Arc<Router>, key: &str) -> Hit<Mapping> {
     let Some(to) = owner(router, key) else {
-        return router.layers.share(key);
+        return router.cache_tiers.get_regional(key);
     };
     let neighbour = neighbour(router, to);
     let number = rand::random();
@@ -195,7 +195,7 @@
     let seen = tokio::time::timeout(LOOK_PATIENCE, receiver).await;
     neighbour.looks.lock().remove(&number);
     match seen {
-        Ok(Ok(Some(mapping))) if mapping.key() == key && !router.layers.is_void(&mapping) => {
+        Ok(Ok(Some(mapping))) if mapping.key() == key && !router.cache_tiers.is_void(&mapping) => {
             match mapping.fresh_ms > 0 {
                 true => Hit::Fresh(mapping),
                 false => Hit::Stale(mapping),
@@ -211,9 +211,9 @@
 
 /// Writes a mapping to both layers.
 pub fn keep(router: &Arc<Router>, mapping: &Mapping) {
-    router.layers.keep_own(mapping);
+    router.cache_tiers.insert_local(mapping);
     match owner(router, &mapping.key()) {
-        None => router.layers.keep_share(mapping),
+        None => router.cache_tiers.insert_regional(mapping),
         Some(to) => drop(
             neighbour(router, to)
                 .out
@@ -235,12 +235,12 @@
     while let Some(frame) = link::receive(&mut stream, 1 << 20).await? {
         match frame {
             Frame::Look { number, key, epoch } => {
-                // A share that is behind the asker does not know what is void.
+                // A share that is behind the asking router does not know what is void.
                 let is_behind = router.view.borrow().epoch < epoch;
                 let hit = if is_behind {
                     Hit::Miss
                 } else {
-                    router.layers.share(&key)
+                    router.cache_tiers.get_regional(&key)
                 };
                 let mapping = match hit {
                     Hit::Fresh(mapping) | Hit::Stale(mapping) => vec![mapping],
@@ -248,14 +248,14 @@
                 };
                 link::send(&mut stream, &Frame::Seen { number, mapping }).await?;
             }
-            Frame::Keep(mapping) => router.layers.keep_share(&mapping),
+            Frame::Keep(mapping) => router.cache_tiers.insert_regional(&mapping),
             Frame::Tidings {
                 from,
                 is_relayed,
                 loads,
                 kept,
             } => {
-                crate::tidings::take(&router, &from, is_relayed != 0, loads, kept);
+                crate::load_gossip::take(&router, &from, is_relayed != 0, loads, kept);
             }
             other => anyhow::bail!("an unexpected frame from a neighbour: {other:?}"),
         }
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -1,4 +1,4 @@
-//! The session with a directory node: beats up; pictures, changes, leases
+//! The session with a directory node: heartbeats up; pictures, changes, leases
 //! and company down; and the key-only questions.
 
 use crate::Router;
@@ -19,22 +19,22 @@
 const PATIENCE_MS: u64 = 900;
 
 /// A question under way: the key that it is about, and who waits for the answer.
-struct OpenQuestion {
+struct PendingLookup {
     key: String,
     waiter: oneshot::Sender<Answer>,
 }
 
-/// Questions under way, and the way out while there is a session. Invariant: a
+/// Lookups under way, and the way out while there is a session. Invariant: a
 /// number is used once in the life of this process, and an answer is handed on only
 /// while its question waits, and only if it is about that question's key.
 #[derive(Default)]
-pub struct Questions {
-    open: Mutex<HashMap<u64, OpenQuestion>>,
+pub struct PendingLookups {
+    open: Mutex<HashMap<u64, PendingLookup>>,
     out: Mutex<Option<(SocketAddr, mpsc::Sender<Frame>)>>,
     next: AtomicU64,
 }
 
-impl Questions {
+impl PendingLookups {
     /// The directory node of the session.
     pub fn node(&self) -> Option<String> {
         self.out
@@ -58,7 +58,7 @@
         let key = residency::key(tenant, service);
         self.open
             .lock()
-            .insert(number, OpenQuestion { key, waiter });
+            .insert(number, PendingLookup { key, waiter });
         let frame = Frame::Resolve {
             number,
             tenant: tenant.into(),
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// The answer is about another key than its question: the node can't be relied on.
-    fn answered(&self, number: u64, answer: Answer) -> anyhow::Result<()> {
+    fn complete(&self, number: u64, answer: Answer) -> anyhow::Result<()> {
         let Some(question) = self.open.lock().remove(&number) else {
             return Ok(());
         };
@@ -97,14 +97,14 @@
 
 /// Where to find a directory node, the nearest first.
 fn ways(router: &Router) -> Vec<SocketAddr> {
-    let company = router.company.read();
-    let mut ways: Vec<(u8, u32, SocketAddr)> = company
+    let membership = router.membership.read();
+    let mut ways: Vec<(u8, u32, SocketAddr)> = membership
         .directories()
         .iter()
         .filter_map(|member| {
             let far = match () {
-                _ if member.zone == router.boot.zone => 0,
-                _ if member.region == router.boot.region => 1,
+                _ if member.zone == router.settings.zone => 0,
+                _ if member.region == router.settings.region => 1,
                 _ => 2,
             };
             Some((far, rand::random(), member.address.parse().ok()?))
@@ -112,7 +112,7 @@
         .collect();
     ways.extend(
         router
-            .boot
+            .settings
             .seeds
             .iter()
             .map(|seed| (3, rand::random(), *seed)),
@@ -130,15 +130,15 @@
 }
 
 pub async fn run(router: Arc<Router>) {
-    let mut following = Following::default();
+    let mut replica_view = Following::default();
     loop {
         for way in ways(&router) {
             let had_lease = router.lease.load(Ordering::Relaxed);
-            if let Err(error) = hold(&router, &mut following, way).await {
+            if let Err(error) = hold(&router, &mut replica_view, way).await {
                 log::info!("session with {way} ended: {error:#}");
             }
-            *router.questions.out.lock() = None;
-            router.questions.open.lock().clear();
+            *router.pending_lookups.out.lock() = None;
+            router.pending_lookups.open.lock().clear();
             // A session that served begins the search anew, the nearest first.
             if router.lease.load(Ordering::Relaxed) > had_lease {
                 break;
@@ -163,15 +163,15 @@
 
 async fn hold(
     router: &Arc<Router>,
-    following: &mut Following,
+    replica_view: &mut Following,
     way: SocketAddr,
 ) -> anyhow::Result<()> {
-    let boot = &router.boot;
-    following.begin();
+    let boot = &router.settings;
+    replica_view.begin();
     let stream = link::dial(boot.peer_listen_address, way, Kind::Router, &boot.name).await?;
     let (mut reader, mut writer) = stream.into_split();
     let (out, mut queue) = mpsc::channel(256);
-    *router.questions.out.lock() = Some((way, out));
+    *router.pending_lookups.out.lock() = Some((way, out));
     router.counters.one("sessions");
     let (frames, mut incoming) = mpsc::channel(64);
     let reading = tokio::spawn(async move {
@@ -193,8 +193,8 @@
             _ = tick(&mut beat, router, last) => {
                 last = now();
                 anyhow::ensure!(now() < lease_valid + PATIENCE_MS, "no lease comes from it");
-                let number = router.beats.fetch_add(1, Ordering::Relaxed) + 1;
-                following.beat(now(), number);
+                let number = router.heartbeats.fetch_add(1, Ordering::Relaxed) + 1;
+                replica_view.beat(now(), number);
                 let front = Front {
                     name: boot.name.clone(),
                     region: boot.region.clone(),
@@ -203,7 +203,7 @@
                     address: boot.peer_address.to_string(),
                     epoch: router.view.borrow().epoch,
                     age_ms: 0,
-                    is_leaving: router.is_leaving.load(Ordering::Relaxed).into(),
+                    is_leaving: router.is_draining.load(Ordering::Relaxed).into(),
                 };
                 let demand = router.quota.demands(&boot.name, number);
                 let frame = Frame::Beat { front, demand };
@@ -217,29 +217,29 @@
                 let frame = frame.unwrap_or(Ok(None))?;
                 let Some(frame) = frame else { anyhow::bail!("it closed") };
                 if let Frame::Lease { number, epoch, shares } = &frame {
-                    if let Some(until) = following.lease_valid(*number, *epoch) {
+                    if let Some(until) = replica_view.lease_valid(*number, *epoch) {
                         lease_valid = now();
-                        router.lease.store(following.lease(), Ordering::Relaxed);
+                        router.lease.store(replica_view.lease(), Ordering::Relaxed);
                         router.quota.take(*number, until, shares);
                     }
                     continue;
                 }
-                take(router, following, frame)?;
+                take(router, replica_view, frame)?;
             }
         }
     }
 }
 
-fn take(router: &Arc<Router>, following: &mut Following, frame: Frame) -> anyhow::Result<()> {
+fn take(router: &Arc<Router>, replica_view: &mut Following, frame: Frame) -> anyhow::Result<()> {
     match frame {
         Frame::Picture { epoch, events } => {
-            let taken = following
+            let taken = replica_view
                 .picture(epoch, &events)
                 .map_err(anyhow::Error::msg)?;
             if taken == Taken::Picture {
-                router.layers.touch_all(epoch);
+                router.cache_tiers.invalidate_all(epoch);
             }
-            router.view.send_replace(Arc::clone(following.view()));
+            router.view.send_replace(Arc::clone(replica_view.view()));
             router.counters.one("pictures");
             log::info!(epoch = epoch; "a picture is in force");
         }
@@ -248,17 +248,17 @@
             epoch,
             events,
         } => {
-            following
+            replica_view
                 .change(prior, epoch, &events)
                 .map_err(anyhow::Error::msg)?;
             // The caches first: whoever sees the new view finds nothing void.
-            router.layers.touch(epoch, &events);
-            router.view.send_replace(Arc::clone(following.view()));
+            router.cache_tiers.invalidate(epoch, &events);
+            router.view.send_replace(Arc::clone(replica_view.view()));
             router.counters.one("changes");
             log::info!(epoch = epoch; "in force");
         }
-        Frame::Company(news) => router.company.write().take(&router.boot.name, &news),
-        Frame::Resolved { number, answer } => router.questions.answered(number, answer)?,
+        Frame::Company(news) => router.membership.write().take(&router.settings.name, &news),
+        Frame::Resolved { number, answer } => router.pending_lookups.complete(number, answer)?,
         Frame::Refused { text } => anyhow::bail!("it refuses: {text}"),
         other => anyhow::bail!("an unexpected frame: {other:?}"),
     }
