--- a/directory/src/driver/thread/mod.rs
+++ b/directory/src/driver/thread/mod.rs
@@ -23,8 +23,8 @@
 use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender, TrySendError};
 use std::sync::Arc;
 use std::time::Duration;
+use telemetry::counters::Counters;
 use tokio::sync::{mpsc, oneshot, watch};
-use transport::counters::Counters;
 use transport::now;
 
 pub(super) const COMMAND_QUEUE_LEN: usize = 4096;
--- a/directory/src/forwarded_requests.rs
+++ b/directory/src/forwarded_requests.rs
@@ -5,6 +5,7 @@
 use crate::ControlPlane;
 use anyhow::{anyhow, bail};
 use bytes::Bytes;
+use dispatch::{headers_of, headers_to, step, Carried, Parts, Piped};
 use http_body_util::BodyExt;
 use placement::{Event, Job, Outcome};
 use policy::{Extract, Field, Head, Prompt};
@@ -16,7 +17,6 @@
 use tokio::io::AsyncRead;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use transport::dispatch::{headers_of, headers_to, step, Carried, Parts, Piped};
 use transport::web::{self, Refusal};
 use transport::{link, now};
 
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -21,6 +21,9 @@
 use consensus::node::Timing;
 use consensus::wal::{Folder, WriteAheadLog};
 use consensus::Member;
+use dispatch::quota::Quota;
+use dispatch::roster::Roster;
+use dispatch::Dispatcher;
 use parking_lot::{Mutex, RwLock};
 use protocol::{Frame, Front, PeerRequest, PeerResponse};
 use residency::{ConfigDocument, State, View};
@@ -29,10 +32,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-use transport::counters::Counters;
-use transport::dispatch::Dispatcher;
-use transport::quota::Quota;
-use transport::roster::Roster;
+use telemetry::counters::Counters;
 
 #[derive(Clone, Copy, PartialEq)]
 pub enum RuntimeFlavor {
--- a/directory/src/main.rs
+++ b/directory/src/main.rs
@@ -2,8 +2,8 @@
 
 use consensus::node::Timing;
 use directory::{Extensions, RuntimeFlavor, Settings};
+use settings::{setting, Boot, Setting};
 use std::time::Duration;
-use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting(
@@ -102,7 +102,7 @@
     }
     boot.finish();
     let run = || {
-        transport::logs::start("directory", &settings.name, &level)?;
+        telemetry::logs::start("directory", &settings.name, &level)?;
         directory::run(settings, Extensions::default())
     };
     if let Err(error) = run() {
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -39,7 +39,7 @@
     match (request.method().as_str(), path.as_str()) {
         ("GET", "/vitals") => vitals(control),
         ("GET", "/counters") => web::json(200, &control.counters.value()),
-        ("GET", "/traffic") => web::json(200, &transport::traffic::value()),
+        ("GET", "/traffic") => web::json(200, &telemetry::traffic::value()),
         ("GET", "/status") => status(control).await,
         ("GET", "/book") => book(control).await,
         ("GET", "/explain") => explain(control, &request),
@@ -224,12 +224,12 @@
         avoid: &[],
     };
     let (engine, why) = match control.dispatcher.roster.elect(&view, &mapping, &wanted) {
-        transport::roster::Elected::Engine(seat) => (
+        dispatch::roster::Elected::Engine(seat) => (
             Some(seat.name.clone()),
             "ranks first for this prefix among those with room",
         ),
-        transport::roster::Elected::Full => (None, "all that are allowed are at their limit"),
-        transport::roster::Elected::Nobody => (None, "none that is allowed is in sight"),
+        dispatch::roster::Elected::Full => (None, "all that are allowed are at their limit"),
+        dispatch::roster::Elected::Nobody => (None, "none that is allowed is in sight"),
     };
     let list = |names: &[Name]| {
         names
--- a/directory/src/subscriptions.rs
+++ b/directory/src/subscriptions.rs
@@ -149,7 +149,7 @@
             );
         }
     });
-    let _told = transport::roster::Aborting(told.abort_handle());
+    let _told = dispatch::roster::Aborting(told.abort_handle());
     let writing = async {
         while let Some(frame) = queue.recv().await {
             tokio::time::timeout(link::PATIENCE * 2, link::send(&mut writer, &frame)).await??;
--- a/transport/src/dispatch.rs
+++ b/dispatch/src/dispatcher.rs
@@ -1,11 +1,8 @@
 //! Carrying a job to an engine and its answer back.
 
-use crate::counters::Counters;
 use crate::gate::{Against, Armed, Gate, LastLook, Slot};
 use crate::lanes::{Lane, Lanes};
 use crate::roster::{Aborting, Elected, Roster, Seat};
-use crate::web::{Refusal, JOB};
-use crate::{link, now};
 use bytes::Bytes;
 use http::HeaderMap;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -20,8 +17,11 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 use std::time::Duration;
+use telemetry::counters::Counters;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
+use transport::web::{Refusal, JOB};
+use transport::{link, now};
 
 /// A stream that gives nothing for this long is broken.
 pub const IDLE: Duration = Duration::from_secs(20);
--- a/transport/src/gate.rs
+++ b/dispatch/src/gate.rs
@@ -1,8 +1,6 @@
 //! The last look at a job before its first byte leaves for an engine.
 
-use crate::dispatch::Leave;
-use crate::now;
-use crate::web::Refusal;
+use crate::Leave;
 use hyper_util::rt::TokioIo;
 use parking_lot::Mutex;
 use residency::{Mapping, View};
@@ -12,6 +10,8 @@
 use std::task::{Context, Poll};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
+use transport::now;
+use transport::web::Refusal;
 
 /// Everything that must hold when the first byte of a job leaves for an engine.
 pub struct LastLook {
--- a/transport/src/lanes.rs
+++ b/dispatch/src/lanes.rs
@@ -1,12 +1,12 @@
 //! Connections to engines that lie ready for the next job.
 
-use crate::dispatch::Flow;
 use crate::gate::Slot;
-use crate::now;
 use crate::roster::Aborting;
+use crate::Flow;
 use parking_lot::Mutex;
 use std::collections::HashMap;
 use std::sync::Arc;
+use transport::now;
 
 /// The most that lie ready for one engine.
 const MOST: usize = 8;
--- a/transport/src/quota.rs
+++ b/dispatch/src/quota.rs
@@ -1,13 +1,13 @@
 //! Tenants' paces at a process that admits jobs: the waiting for the leader's
 //! word around `placement`'s meters, or its taps, by which nobody waits.
 
-use crate::now;
-use crate::web::Refusal;
 use parking_lot::Mutex;
 use placement::{Margin, Meters, Place, Taps};
 use protocol::{FrontDemand, Share};
 use std::time::Duration;
 use tokio::sync::Notify;
+use transport::now;
+use transport::web::Refusal;
 
 /// Whose word a process admits by: asked for each job where it lies nowhere yet,
 /// or lying here before the job comes.
--- a/transport/src/roster.rs
+++ b/dispatch/src/roster.rs
@@ -1,7 +1,6 @@
 //! The engines as they are now: one loop holds a vitals stream open to each
 //! engine that the view lists, and to no other, around `placement`'s counts.
 
-use crate::{jitter, link, now};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper_util::rt::TokioIo;
@@ -15,6 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
+use transport::{jitter, link, now};
 
 const LINE_CAP: usize = 4096;
 /// How often engines that failed are looked at.
--- a/router/src/extensions.rs
+++ b/router/src/extensions.rs
@@ -2,12 +2,12 @@
 //! interface is the first filling of each.
 
 use crate::Router;
+use dispatch::Carriage;
 use http::HeaderMap;
 use parking_lot::Mutex;
 use placement::{Margin, Retries};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use transport::dispatch::Carriage;
 use transport::web::{Handler, Refusal, Request, Response, JOB};
 
 type Reading<T> = Box<dyn Fn(&HeaderMap) -> Option<T> + Send + Sync>;
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -3,6 +3,8 @@
 
 use crate::{cache_tiers::LookupPermit, membership, Router};
 use bytes::Bytes;
+use dispatch::roster::Aborting;
+use dispatch::{clean, headers_of, headers_to, step, Carried, Parts, Piped, Rest, IDLE};
 use dropshot::Body;
 use http_body_util::BodyExt;
 use placement::{Event, Job, Outcome};
@@ -14,8 +16,6 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use transport::dispatch::{clean, headers_of, headers_to, step, Carried, Parts, Piped, Rest, IDLE};
-use transport::roster::Aborting;
 use transport::web::{Refusal, Response};
 use transport::{link, now};
 
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -14,6 +14,10 @@
 pub use ingress::lookup_routers;
 
 use anyhow::Context;
+use dispatch::lanes::Lanes;
+use dispatch::quota::Quota;
+use dispatch::roster::Roster;
+use dispatch::Dispatcher;
 use parking_lot::{Mutex, RwLock};
 use residency::View;
 use std::collections::HashSet;
@@ -21,13 +25,9 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+use telemetry::counters::Counters;
 use tokio::sync::watch;
-use transport::counters::Counters;
-use transport::dispatch::Dispatcher;
-use transport::lanes::Lanes;
 use transport::now;
-use transport::quota::Quota;
-use transport::roster::Roster;
 use transport::web::{self, Refusal};
 
 /// How long a job may wait for room at an engine, at the most.
@@ -270,7 +270,7 @@
             web::json(if is_well { 200 } else { 503 }, &value)
         }
         ("GET", "/counters") => web::json(200, &router.counters.value()),
-        ("GET", "/traffic") => web::json(200, &transport::traffic::value()),
+        ("GET", "/traffic") => web::json(200, &telemetry::traffic::value()),
         (_, path) => {
             let text = format!("there is no {path} for this method");
             web::json(
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -2,8 +2,8 @@
 //! project's own interface.
 
 use router::{Extensions, Settings, ENGINE_SLOT_WAIT_MS};
+use settings::{setting, Boot, Setting};
 use std::time::Duration;
-use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting(
@@ -134,7 +134,7 @@
     }
     boot.finish();
     let run = || -> anyhow::Result<()> {
-        transport::logs::start("router", &settings.name, &level)?;
+        telemetry::logs::start("router", &settings.name, &level)?;
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()?;
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -183,7 +183,7 @@
             }
         }
     });
-    let _reading = transport::roster::Aborting(reading.abort_handle());
+    let _reading = dispatch::roster::Aborting(reading.abort_handle());
     let mut beat = tokio::time::interval(Duration::from_millis(boot.heartbeat_interval_ms));
     beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut lease_valid = now();
--- a/transport/src/traffic.rs
+++ b/telemetry/src/traffic.rs
@@ -32,12 +32,12 @@
 static RECEIVED: Way = Way::new();
 
 /// A frame with its length before it, as it goes out.
-pub(crate) fn sent(encoded: &[u8]) {
+pub fn sent(encoded: &[u8]) {
     SENT.count(encoded.get(4).copied().unwrap_or(0), encoded.len());
 }
 
 /// A frame's body, as it came in.
-pub(crate) fn received(body: &[u8]) {
+pub fn received(body: &[u8]) {
     RECEIVED.count(body.first().copied().unwrap_or(0), body.len() + 4);
 }
 
--- a/testbed/src/bin/day.rs
+++ b/testbed/src/bin/day.rs
@@ -1,6 +1,6 @@
 //! Makes a sample day from a deployment's shape, by a seed.
 
-use transport::boot::{setting, Boot, Setting};
+use settings::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting(
--- a/testbed/src/bin/engine.rs
+++ b/testbed/src/bin/engine.rs
@@ -1,6 +1,6 @@
 //! A stand-in engine as a process of its own.
 
-use transport::boot::{setting, Boot, Setting};
+use settings::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("name", "NAME", "the engine's name", None),
--- a/testbed/src/bin/fleet.rs
+++ b/testbed/src/bin/fleet.rs
@@ -1,10 +1,10 @@
 //! Starts a whole deployment on this machine and keeps it until it is told to
 //! stop.
 
+use settings::{setting, Boot, Setting};
 use std::convert::Infallible;
 use std::path::{Path, PathBuf};
 use testbed::fleet::{Fleet, Shape};
-use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("shape", "FILE", "the deployment's shape", None),
--- a/testbed/src/bin/replay.rs
+++ b/testbed/src/bin/replay.rs
@@ -1,10 +1,10 @@
 //! Plays a recorded day against a fleet, and reports counts by outcome.
 
+use settings::{setting, Boot, Setting};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use testbed::fleet::{Fleet, Shape};
 use testbed::{day, replay};
-use transport::boot::{setting, Boot, Setting};
 
 const SETTINGS: &[Setting] = &[
     setting("day", "FILE", "the recorded day", None),
--- a/testbed/src/engine.rs
+++ b/testbed/src/engine.rs
@@ -7,6 +7,7 @@
 
 use crate::journal::Journal;
 use bytes::Bytes;
+use dispatch::Piped;
 use dropshot::Body;
 use http_body_util::BodyExt;
 use parking_lot::Mutex;
@@ -18,7 +19,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, Semaphore};
-use transport::dispatch::Piped;
 use transport::web::{self, Request, Response};
 
 pub struct Settings {
@@ -139,7 +139,7 @@
             note("declined", 0);
             return hyper::Response::builder()
                 .status(503)
-                .header(transport::dispatch::ENGINE_OUTCOME, "not-run")
+                .header(dispatch::ENGINE_OUTCOME, "not-run")
                 .body(Body::empty())
                 .expect("fixed headers make an answer");
         }
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -4,6 +4,7 @@
 //! alone.
 
 use anyhow::{bail, ensure};
+use dispatch::quota::Quota;
 use nix::time::{clock_gettime, ClockId};
 use parking_lot::Mutex;
 use placement::{Company, Following, Margin};
@@ -13,7 +14,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
-use transport::quota::Quota;
 use transport::{link, now, web};
 
 const BEAT_MS: u64 = 350;
@@ -330,7 +330,7 @@
 ) -> web::Response {
     let number = |name: &str| web::query(request.uri(), name).and_then(|text| text.parse().ok());
     match (request.method().as_str(), request.uri().path()) {
-        ("GET", "/traffic") => web::json(200, &transport::traffic::value()),
+        ("GET", "/traffic") => web::json(200, &telemetry::traffic::value()),
         ("GET", "/figures") => {
             let (mut lease_valid, mut sessions, mut leases, mut beats) = (0u64, 0u64, 0u64, 0u64);
             let (mut lowest, mut known, mut engines) = (u64::MAX, u64::MAX, u64::MAX);
--- a/testbed/tests/gate.rs
+++ b/testbed/tests/gate.rs
@@ -2,6 +2,8 @@
 //! any two looks must keep the job's bytes back.
 
 use bytes::Bytes;
+use dispatch::roster::{Elected, Roster};
+use dispatch::{Carried, Dispatcher, Parts};
 use parking_lot::Mutex;
 use placement::{Event, Job, Outcome};
 use residency::{Engine, EngineState, Mapping, Name, Place, View};
@@ -11,8 +13,6 @@
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
-use transport::dispatch::{Carried, Dispatcher, Parts};
-use transport::roster::{Elected, Roster};
 use transport::web::Refusal;
 
 const VITALS: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -338,7 +338,7 @@
         let door = settings.ingress_address;
         tokio::spawn(async move {
             // No engine stands here, so that none is waited for.
-            let carriage = transport::dispatch::Carriage {
+            let carriage = dispatch::Carriage {
                 sight_wait: 0,
                 ..Default::default()
             };
--- a/transport/src/lib.rs
+++ b/transport/src/lib.rs
@@ -1,17 +1,8 @@
-//! What the daemons share at their edge: settings, logs, counters, framed
-//! links, HTTP, and the carriage of a job to an engine.
+//! What the daemons share at their edge: the HTTP listener and client, framed
+//! links, and the clock.
 
-pub mod boot;
-pub mod counters;
-pub mod dispatch;
 pub mod doors;
-pub mod gate;
-pub mod lanes;
 pub mod link;
-pub mod logs;
-pub mod quota;
-pub mod roster;
-pub mod traffic;
 pub mod web;
 
 use nix::time::{clock_gettime, ClockId};
--- a/transport/src/link.rs
+++ b/transport/src/link.rs
@@ -1,10 +1,10 @@
 //! Framed TCP links between rushport's own processes.
 
-use crate::traffic;
 use anyhow::{anyhow, bail, Context};
 use protocol::{Frame, Kind};
 use std::net::SocketAddr;
 use std::time::Duration;
+use telemetry::traffic;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
