--- a/directory/src/forwarded_requests.rs
+++ b/directory/src/forwarded_requests.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use dispatch::{headers_of, headers_to, step, Carried, Parts, Piped};
 use http_body_util::BodyExt;
-use placement::{Event, Job, Outcome};
+use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
 use policy::{Extract, Field, Head, Prompt};
 use protocol::{Frame, JobHead};
 use residency::Mapping;
@@ -30,7 +30,7 @@
         status: refusal.status,
         code: refusal.code.clone(),
         text: refusal.text.clone(),
-        not_run: refusal.outcome == Outcome::NotRun,
+        not_run: refusal.outcome == ExecutionOutcome::NotRun,
         retry_after_ms: refusal.retry_after_ms.unwrap_or(0),
     }
 }
@@ -105,9 +105,9 @@
         .routes
         .get(route)
         .is_some_and(|r| r.repeatable);
-    let mut job = Job::new(is_repeatable);
-    step(&mut job, Event::KeyRead);
-    step(&mut job, Event::MappingFound);
+    let mut job = RequestStateMachine::new(is_repeatable);
+    step(&mut job, RequestEvent::RoutingKeyExtracted);
+    step(&mut job, RequestEvent::MappingResolved);
     let (pieces, rest) = mpsc::channel::<anyhow::Result<Bytes>>(8);
     let mut carried = Carried::new(held, (!is_ended).then(|| Piped(rest).boxed_unsync()));
     if !is_ended {
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -8,7 +8,7 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper_util::rt::TokioIo;
-use placement::{Event, Job, Outcome, State, Wanted};
+use placement::{ExecutionOutcome, RequestEvent, RequestState, RequestStateMachine, Wanted};
 use policy::Prompt;
 use residency::{Mapping, View};
 use std::net::SocketAddr;
@@ -313,15 +313,15 @@
 
 fn unknown(status: u16, code: &str, text: &str) -> Refusal {
     Refusal {
-        outcome: Outcome::Unknown,
+        outcome: ExecutionOutcome::Unknown,
         ..Refusal::not_run(status, code, text)
     }
 }
 
 /// Invariant: the events that a process hands to a job's chart are ones that
 /// the chart allows there.
-pub fn step(job: &mut Job, event: Event) {
-    if let Err(misstep) = job.step(event) {
+pub fn step(job: &mut RequestStateMachine, event: RequestEvent) {
+    if let Err(misstep) = job.apply(event) {
         panic!("a job left its chart: {misstep}");
     }
 }
@@ -331,7 +331,7 @@
     /// true outcome.
     pub async fn dispatch(
         &self,
-        job: &mut Job,
+        job: &mut RequestStateMachine,
         parts: &Parts,
         carried: &mut Carried,
         mapping: &Mapping,
@@ -357,7 +357,7 @@
                 }
                 has_budget
             };
-            if !job.may_go_on(&mut has_budget) {
+            if !job.may_attempt(&mut has_budget) {
                 return Err(self.give_up(job, "no further round is allowed"));
             }
             let wanted = Wanted {
@@ -367,16 +367,16 @@
             };
             let mut seat = match self.seat(&mapping, &wanted, asked, parts.deadline).await {
                 Ok(seat) => seat,
-                Err(refusal) if job.outcome() == Outcome::NotRun => return Err(refusal),
+                Err(refusal) if job.outcome() == ExecutionOutcome::NotRun => return Err(refusal),
                 Err(refusal) => {
                     return Err(Refusal {
-                        outcome: Outcome::Unknown,
+                        outcome: ExecutionOutcome::Unknown,
                         ..refusal
                     })
                 }
             };
-            step(job, Event::EngineElected);
-            let kept = match job.is_repeatable() {
+            step(job, RequestEvent::EngineSelected);
+            let kept = match job.is_idempotent() {
                 true => self.lanes.take(&seat.name),
                 false => None,
             };
@@ -391,7 +391,7 @@
                         seat.suspect();
                         self.lanes.forget(&seat.name);
                         avoid.push(seat.name.clone());
-                        step(job, Event::ConnectFailed);
+                        step(job, RequestEvent::ConnectFailed);
                         continue;
                     }
                 },
@@ -410,7 +410,7 @@
             // is given away.
             let against = look.look();
             if against.is_err() {
-                step(job, Event::ConnectFailed);
+                step(job, RequestEvent::ConnectFailed);
             }
             match against {
                 Ok(()) => {}
@@ -456,7 +456,7 @@
                             }
                         }
                         Err(_) => {
-                            step(job, Event::ConnectFailed);
+                            step(job, RequestEvent::ConnectFailed);
                             continue;
                         }
                     }
@@ -470,7 +470,7 @@
             } = lane;
             slot.arm(armed);
             let request = self.request(parts, &seat, &mapping, carried);
-            step(job, Event::BytesLeave);
+            step(job, RequestEvent::SendStarted);
             seat.sent(&parts.prompt);
             let left = Duration::from_millis(parts.deadline.saturating_sub(now()));
             let mut sending = std::pin::pin!(sender.send_request(request));
@@ -510,11 +510,11 @@
                     }
                     self.counters.one("declined");
                     avoid.push(seat.name.clone());
-                    step(job, Event::Declined);
+                    step(job, RequestEvent::NotRun);
                 }
                 (Ok(Ok(answer)), Verdict::Answer) if has_end(&answer, &parts.method) => {
                     seat.began();
-                    step(job, Event::AnswerBegan);
+                    step(job, RequestEvent::ResponseStarted);
                     let lane = Lane {
                         sender,
                         slot,
@@ -531,14 +531,14 @@
                         "not an answer to this job: {why}");
                     self.counters.one("answers-foreign");
                     avoid.push(seat.name.clone());
-                    step(job, Event::AnswerLost);
-                    if job.state() == State::Broken {
+                    step(job, RequestEvent::ResponseLost);
+                    if job.state() == RequestState::Failed {
                         return Err(unknown(502, "engine-answer", "the engine's answer is none"));
                     }
                 }
                 (Ok(Err(_)), _) if !has_left.load(Ordering::SeqCst) => {
                     self.counters.one("held-at-the-gate");
-                    step(job, Event::NothingLeft);
+                    step(job, RequestEvent::NothingSent);
                 }
                 (Ok(Err(error)), _) => {
                     log::info!(job = parts.id.as_str(), engine = seat.name.as_str();
@@ -547,8 +547,8 @@
                     seat.suspect();
                     self.lanes.forget(&seat.name);
                     avoid.push(seat.name.clone());
-                    step(job, Event::AnswerLost);
-                    if job.state() == State::Broken {
+                    step(job, RequestEvent::ResponseLost);
+                    if job.state() == RequestState::Failed {
                         return Err(unknown(
                             502,
                             "engine-lost",
@@ -573,13 +573,13 @@
     /// engine; `None` where it may not, or its whole time.
     fn patience(
         &self,
-        job: &Job,
+        job: &RequestStateMachine,
         parts: &Parts,
         seat: &Seat,
         carried: &Carried,
     ) -> Option<Duration> {
-        let may_leave = job.is_repeatable()
-            && job.may_have_another_round()
+        let may_leave = job.is_idempotent()
+            && job.has_attempts_left()
             && !carried.is_spent
             && self.carriage.patience > 0.0
             && parts.aim_ms > 0;
@@ -617,13 +617,13 @@
 
     fn note(
         &self,
-        job: &Job,
+        job: &RequestStateMachine,
         parts: &Parts,
         seat: &Seat,
         mapping: &Mapping,
     ) -> Box<dyn Fn() + Send> {
         let (counters, view) = (Arc::clone(&self.counters), self.view.clone());
-        let (id, engine, round) = (parts.id.clone(), seat.name.clone(), job.rounds());
+        let (id, engine, round) = (parts.id.clone(), seat.name.clone(), job.attempts());
         let (tenant, service) = (mapping.tenant.clone(), mapping.service.clone());
         Box::new(move || {
             counters.one("dispatches");
@@ -633,7 +633,7 @@
         })
     }
 
-    fn late(&self, job: &Job) -> Refusal {
+    fn late(&self, job: &RequestStateMachine) -> Refusal {
         let refusal = Refusal::not_run(504, "deadline", "the job's deadline passed");
         Refusal {
             outcome: job.outcome(),
@@ -641,9 +641,9 @@
         }
     }
 
-    fn give_up(&self, job: &Job, why: &str) -> Refusal {
+    fn give_up(&self, job: &RequestStateMachine, why: &str) -> Refusal {
         match job.outcome() {
-            Outcome::NotRun => Refusal::not_run(
+            ExecutionOutcome::NotRun => Refusal::not_run(
                 503,
                 "engines-unreachable",
                 format!("no engine took the job and {why}"),
@@ -692,7 +692,7 @@
 
     fn relay(
         &self,
-        job: Job,
+        job: RequestStateMachine,
         parts: &Parts,
         answer: hyper::Response<Incoming>,
         seat: Seat,
@@ -745,7 +745,7 @@
 /// An answer on its way. What the engine breaks off, this breaks off.
 pub struct Relay {
     body: Incoming,
-    job: Job,
+    job: RequestStateMachine,
     id: String,
     seat: Seat,
     counters: Arc<Counters>,
@@ -774,17 +774,17 @@
         &self.seat.name
     }
 
-    fn end(&mut self, event: Event) {
-        if self.job.state() == State::Answering {
+    fn end(&mut self, event: RequestEvent) {
+        if self.job.state() == RequestState::Responding {
             step(&mut self.job, event);
             match event {
-                Event::AnswerEnded => {
+                RequestEvent::ResponseEnded => {
                     self.counters.one("answers-whole");
                     if let Some(lane) = self.lane.take() {
                         self.lanes.give(&self.seat.name, self.kept_ms, lane);
                     }
                 }
-                Event::StreamBroke => {
+                RequestEvent::ResponseBroken => {
                     self.counters.one("answers-broken");
                     self.seat.suspect();
                 }
@@ -800,8 +800,8 @@
     fn drop(&mut self) {
         // hyper drops a body without a last poll where its length is reached.
         let event = match self.body.is_end_stream() {
-            true => Event::AnswerEnded,
-            false => Event::CallerLeft,
+            true => RequestEvent::ResponseEnded,
+            false => RequestEvent::ClientDisconnected,
         };
         self.end(event);
     }
@@ -821,16 +821,16 @@
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
-                self.end(Event::StreamBroke);
+                self.end(RequestEvent::ResponseBroken);
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
-                self.end(Event::AnswerEnded);
+                self.end(RequestEvent::ResponseEnded);
                 Poll::Ready(None)
             }
             Poll::Pending => match std::future::Future::poll(self.idle.as_mut(), context) {
                 Poll::Ready(()) => {
-                    self.end(Event::StreamBroke);
+                    self.end(RequestEvent::ResponseBroken);
                     Poll::Ready(Some(Err(anyhow::anyhow!("the engine fell silent"))))
                 }
                 Poll::Pending => Poll::Pending,
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -11,9 +11,9 @@
 mod engines;
 mod estimates;
 mod following;
-mod job;
 mod paces;
 mod pools;
+mod request_state;
 
 pub use allowance::{Allowance, Bound};
 pub use cache::{Cache, Hit};
@@ -23,9 +23,11 @@
 pub use engines::{may_have, Chosen, Engines, GONE_MS, SILENCE_MS};
 pub use estimates::{Estimates, News, Wanted};
 pub use following::{Following, Taken};
-pub use job::{Event, Job, Misstep, Outcome, State};
 pub use paces::{Meters, Paces, Place};
 pub use pools::{Margin, Pools, Taps, HOLD_MS, OPENING};
+pub use request_state::{
+    ExecutionOutcome, InvalidTransition, RequestEvent, RequestState, RequestStateMachine,
+};
 
 /// What an engine said of itself last, and when it was heard.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -7,7 +7,7 @@
 use dispatch::{clean, headers_of, headers_to, step, Carried, Parts, Piped, Rest, IDLE};
 use dropshot::Body;
 use http_body_util::BodyExt;
-use placement::{Event, Job, Outcome};
+use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
 use protocol::{Frame, JobHead, Kind};
 use residency::Mapping;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
 /// be reached.
 pub async fn forward(
     router: &Arc<Router>,
-    job: &mut Job,
+    job: &mut RequestStateMachine,
     parts: &Parts,
     carried: &mut Carried,
     tenant: Option<&str>,
@@ -88,7 +88,7 @@
                     let text = "this tenant key was taken away meanwhile";
                     return ForwardOutcome::Refused(Refusal::not_run(401, "unknown-key", text));
                 }
-                step(job, Event::HandedOn);
+                step(job, RequestEvent::Forwarded);
                 router.counters.one("forwards");
                 log::info!(job = parts.id.as_str(), directory = node.to_string(); "handed on");
                 let conversation = converse(router, job, parts, carried, permit, reader, writer);
@@ -97,7 +97,7 @@
                     Ok(Ok(handed)) => handed,
                     Ok(Err(error)) => {
                         log::info!(job = parts.id.as_str(); "lost at {node}: {error:#}");
-                        step(job, Event::AnswerLost);
+                        step(job, RequestEvent::ResponseLost);
                         lost(502, "directory-lost", "the directory node broke off")
                     }
                     Err(_) => lost(504, "deadline", "the job's deadline passed"),
@@ -130,14 +130,14 @@
 fn lost(status: u16, code: &'static str, text: &str) -> ForwardOutcome {
     let refusal = Refusal::not_run(status, code, text);
     ForwardOutcome::Refused(Refusal {
-        outcome: Outcome::Unknown,
+        outcome: ExecutionOutcome::Unknown,
         ..refusal
     })
 }
 
 async fn converse(
     router: &Arc<Router>,
-    job: &mut Job,
+    job: &mut RequestStateMachine,
     parts: &Parts,
     carried: &mut Carried,
     permit: Option<&LookupPermit>,
@@ -203,7 +203,7 @@
                     || code == "engines-full"
                     || code == "engines-unreachable" && has_budget()) =>
             {
-                step(job, Event::HandedBack);
+                step(job, RequestEvent::ForwardNotRun);
                 router.counters.one("handed-back");
                 if code == "engines-unreachable" {
                     log::info!(job = parts.id.as_str(); "a further round");
@@ -219,8 +219,8 @@
             }) => {
                 let mut refusal = Refusal::not_run(status, &code, text);
                 if !not_run {
-                    step(job, Event::AnswerLost);
-                    refusal.outcome = Outcome::Unknown;
+                    step(job, RequestEvent::ResponseLost);
+                    refusal.outcome = ExecutionOutcome::Unknown;
                 }
                 refusal.retry_after_ms = Some(retry_after_ms).filter(|ms| *ms > 0);
                 return Ok(ForwardOutcome::Refused(refusal));
@@ -228,7 +228,7 @@
             Some(Frame::AnswerHead { status, headers }) => {
                 let (status, headers) =
                     (http::StatusCode::from_u16(status)?, headers_of(&headers)?);
-                step(job, Event::AnswerBegan);
+                step(job, RequestEvent::ResponseStarted);
                 let (pieces, body) = mpsc::channel(8);
                 let relay = Relay {
                     reader,
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -9,7 +9,7 @@
 use dropshot::Body;
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
-use placement::{Event, Hit, Job, Outcome, State};
+use placement::{ExecutionOutcome, Hit, RequestEvent, RequestState, RequestStateMachine};
 use policy::{Extract, Field, Head, Source, Target, BODY_CAP};
 use protocol::Answer;
 use residency::{Mapping, View};
@@ -88,7 +88,7 @@
         }
         Err(refusal) => {
             router.counters.one(match refusal.outcome {
-                Outcome::NotRun => "refused-not-run",
+                ExecutionOutcome::NotRun => "refused-not-run",
                 _ => "refused-unknown",
             });
             log::info!(job = id.as_str(), code = refusal.code.as_str(),
@@ -113,7 +113,7 @@
         let text = "a job of this id is under way here; its own answer says what becomes of it";
         let refusal = Refusal::not_run(409, "job-under-way", text);
         Err(Refusal {
-            outcome: Outcome::Unknown,
+            outcome: ExecutionOutcome::Unknown,
             ..refusal
         })
     }
@@ -250,9 +250,9 @@
     }
     let rule = &view.program.routes[route];
     log::info!(job = id; "its body is here");
-    let mut job = Job::new(rule.repeatable);
+    let mut job = RequestStateMachine::new(rule.repeatable);
     if let Some(most) = rule.rounds {
-        job = job.with_rounds(most);
+        job = job.with_max_attempts(most);
     }
     let asked = (router.extensions.clients.remaining_ms)(&head.headers);
     let deadline = arrived + rule.deadline_ms.min(asked.unwrap_or(u64::MAX));
@@ -303,7 +303,7 @@
             client = reader.tenant(&extract)?;
         }
     }
-    step(&mut job, Event::KeyRead);
+    step(&mut job, RequestEvent::RoutingKeyExtracted);
     if let Some(client) = client.as_ref().filter(|_| !rule.is_public) {
         *claim = Some(Claim::new(router, &client.key, id)?);
     }
@@ -471,7 +471,7 @@
 /// that may see its body.
 async fn unkeyed(
     router: &Arc<Router>,
-    mut job: Job,
+    mut job: RequestStateMachine,
     parts: &Parts,
     carried: &mut Carried,
     tenant: Option<String>,
@@ -489,7 +489,7 @@
 
 async fn route_keyed(
     router: &Arc<Router>,
-    mut job: Job,
+    mut job: RequestStateMachine,
     parts: &Parts,
     mut carried: Carried,
     keyed: &Keyed,
@@ -506,7 +506,7 @@
         let view = router.view.borrow().clone();
         let mapping = within(&view, mapping, &keyed.homes)?;
         let mut chart = job;
-        step(&mut chart, Event::MappingFound);
+        step(&mut chart, RequestEvent::MappingResolved);
         let work =
             router
                 .dispatcher
@@ -522,7 +522,7 @@
             // begins with a chart that knows of none.
             Err(refusal)
                 if refusal.code == "mapping-void"
-                    && refusal.outcome == Outcome::NotRun
+                    && refusal.outcome == ExecutionOutcome::NotRun
                     && carried.is_whole() => {}
             Err(refusal) => return Err(refusal),
         }
@@ -598,7 +598,7 @@
 /// mapping that it brings.
 async fn missed(
     router: &Arc<Router>,
-    job: &mut Job,
+    job: &mut RequestStateMachine,
     parts: &Parts,
     carried: &mut Carried,
     key: &str,
@@ -644,7 +644,7 @@
         // Lost on the way, but repeatable, still whole here, and in budget: by
         // the key alone, so that no second node has to be asked for its place.
         ForwardOutcome::Refused(_)
-            if job.state() == State::Keyed
+            if job.state() == RequestState::Identified
                 && carried.is_whole()
                 && (router.dispatcher.budget)(&keyed.service) =>
         {
@@ -660,7 +660,7 @@
 /// No node is to see the body: the key alone, to whichever holds the session.
 async fn ask(
     router: &Arc<Router>,
-    job: &Job,
+    job: &RequestStateMachine,
     permit: &LookupPermit,
     keyed: &Keyed,
 ) -> Result<Missed, Refusal> {
--- a/testbed/tests/gate.rs
+++ b/testbed/tests/gate.rs
@@ -5,7 +5,7 @@
 use dispatch::roster::{Elected, Roster};
 use dispatch::{Carried, Dispatcher, Parts};
 use parking_lot::Mutex;
-use placement::{Event, Job, Outcome};
+use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
 use residency::{Engine, EngineState, Mapping, Name, Place, View};
 use simd_json::prelude::*;
 use std::net::SocketAddr;
@@ -193,9 +193,12 @@
             })
             .await
             .expect("the engine is heard");
-            let mut job = Job::new(false);
-            for event in [Event::KeyRead, Event::MappingFound] {
-                job.step(event).expect("the way there is allowed");
+            let mut job = RequestStateMachine::new(false);
+            for event in [
+                RequestEvent::RoutingKeyExtracted,
+                RequestEvent::MappingResolved,
+            ] {
+                job.apply(event).expect("the way there is allowed");
             }
             let parts = Parts {
                 id: "j-1".into(),
@@ -221,7 +224,12 @@
                 continue;
             }
             let refusal = answer.err().expect("it is refused");
-            assert_eq!(refusal.outcome, Outcome::NotRun, "{name}: {}", refusal.text);
+            assert_eq!(
+                refusal.outcome,
+                ExecutionOutcome::NotRun,
+                "{name}: {}",
+                refusal.text
+            );
             assert_eq!(bytes, 0, "{name}: not a byte reached the engine");
             assert!(carried.is_whole(), "{name}");
         }
--- a/transport/src/web.rs
+++ b/transport/src/web.rs
@@ -101,7 +101,7 @@
     pub status: u16,
     pub code: String,
     pub text: String,
-    pub outcome: placement::Outcome,
+    pub outcome: placement::ExecutionOutcome,
     pub retry_after_ms: Option<u64>,
 }
 
@@ -113,7 +113,7 @@
             status,
             code: code.into(),
             text: text.into(),
-            outcome: placement::Outcome::NotRun,
+            outcome: placement::ExecutionOutcome::NotRun,
             retry_after_ms: matches!(status, 408 | 429 | 502 | 503 | 504).then_some(1_000),
         }
     }
