--- a/directory/src/driver/thread/mod.rs
+++ b/directory/src/driver/thread/mod.rs
@@ -23,7 +23,7 @@
 use std::sync::mpsc::{sync_channel, Receiver, RecvTimeoutError, SyncSender, TrySendError};
 use std::sync::Arc;
 use std::time::Duration;
-use telemetry::counters::Counters;
+use telemetry::metrics::Metrics;
 use tokio::sync::{mpsc, oneshot, watch};
 use transport::now;
 
@@ -85,7 +85,7 @@
     cluster_status: watch::Sender<ClusterStatus>,
     disk: SyncSender<(u64, Vec<Write>)>,
     peers: Arc<PeerConnections>,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
     subscribers: Vec<mpsc::Sender<Frame>>,
     last_token: u64,
     /// Matters handed to the node here, by token.
@@ -119,7 +119,7 @@
     segments: WriteAheadLog<Folder>,
     kept: PersistedState,
     peers: Arc<PeerConnections>,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
 ) -> anyhow::Result<Arc<ConsensusDriver>> {
     let node = Node::new(local_member.identity, timing, rand::random(), now(), kept);
     let state = State::restore(&node.snapshot().state)
@@ -152,7 +152,7 @@
         cluster_status,
         disk,
         peers,
-        counters,
+        metrics,
         subscribers: Vec::new(),
         // Far from the numbers of any earlier process.
         last_token: rand::random::<u64>() >> 1,
@@ -385,7 +385,7 @@
         let (outcome, events) = state.apply(index, &proposal);
         let view = Arc::new(state.view.clone());
         drop(state);
-        self.counters.one("applied");
+        self.metrics.increment("applied");
         if matches!(outcome, residency::Outcome::Applied { .. }) {
             self.publish_events(prior, index, events);
             self.view.send_replace(view);
--- a/directory/src/forwarded_requests.rs
+++ b/directory/src/forwarded_requests.rs
@@ -46,7 +46,7 @@
     let Some(Frame::Job(head)) = first else {
         bail!("a job's connection begins with the job")
     };
-    control.counters.one("jobs-forwarded");
+    control.metrics.increment("jobs-forwarded");
     log::info!(job = head.id.as_str(); "its body is here");
     let read = tokio::time::timeout(
         Duration::from_secs(10),
@@ -82,7 +82,7 @@
             .admit(&mapping.tenant, terms, 0, QUOTA_PATIENCE)
             .await
         {
-            control.counters.one("refused-quota");
+            control.metrics.increment("refused-quota");
             return link::send(&mut writer, &declined(&refusal)).await;
         }
         log::info!(job = head.id.as_str(); "admitted");
@@ -93,7 +93,7 @@
     let weight = (held.len() + 64 * 1024) as u32;
     let bytes = Arc::clone(&control.forwarding_bytes).try_acquire_many_owned(weight);
     let (Ok(_place), Ok(_bytes)) = (place, bytes) else {
-        control.counters.one("jobs-over-budget");
+        control.metrics.increment("jobs-over-budget");
         let refusal = Refusal::not_run(503, "directory-full", "take the job to an engine yourself");
         return link::send(&mut writer, &declined(&refusal)).await;
     };
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -32,7 +32,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-use telemetry::counters::Counters;
+use telemetry::metrics::Metrics;
 
 #[derive(Clone, Copy, PartialEq)]
 pub enum RuntimeFlavor {
@@ -103,7 +103,7 @@
     source: SocketAddr,
     driver: Arc<driver::ConsensusDriver>,
     peers: Arc<peers::PeerConnections>,
-    pub counters: Arc<Counters>,
+    pub metrics: Arc<Metrics>,
     dispatcher: Dispatcher,
     routers: Mutex<subscriptions::RouterRegistry>,
     /// Rises whenever a router came, left, began to leave or got ready.
@@ -265,7 +265,7 @@
         address: address.to_string(),
         desk: settings.operator_address.to_string(),
     };
-    let counters = Arc::new(Counters::default());
+    let metrics = Arc::new(Metrics::default());
     let peers = peers::PeerConnections::new(member.clone(), listen);
     let driver = driver::start(
         member.clone(),
@@ -276,7 +276,7 @@
         segments,
         kept,
         Arc::clone(&peers),
-        Arc::clone(&counters),
+        Arc::clone(&metrics),
     )?;
     // Work at cold engines is begun by routers alone.
     let roster = Roster::new(listen, Box::new(Vec::new));
@@ -290,7 +290,7 @@
         room_wait: 0,
         roster,
         view: driver.view.clone(),
-        counters: Arc::clone(&counters),
+        metrics: Arc::clone(&metrics),
         // Whether a job goes on is decided by the router that has it.
         budget: Box::new(|_| false),
         leave: Arc::new(move |mapping| gate.check_dispatch(mapping)),
@@ -303,7 +303,7 @@
         source: listen,
         driver,
         peers,
-        counters,
+        metrics,
         dispatcher,
         routers: Default::default(),
         router_list_version: tokio::sync::watch::Sender::new(0),
--- a/directory/src/main.rs
+++ b/directory/src/main.rs
@@ -2,7 +2,7 @@
 
 use consensus::node::Timing;
 use directory::{Extensions, RuntimeFlavor, Settings};
-use settings::{setting, Boot, Setting};
+use settings::{setting, Setting, SettingsReader};
 use std::time::Duration;
 
 const SETTINGS: &[Setting] = &[
@@ -67,42 +67,42 @@
 ];
 
 fn main() {
-    let mut boot = Boot::read(
+    let mut reader = SettingsReader::read(
         "directory",
         "A rushport directory node: holds residency, agrees on it with its equals,\n\
          resolves what routers miss, and answers operators.",
         SETTINGS,
     );
-    let (address, desk) = (boot.address("address"), boot.address("desk"));
+    let (address, desk) = (reader.address("address"), reader.address("desk"));
     let settings = Settings {
-        name: boot.name("name"),
-        region: boot.name("region"),
-        zone: boot.name("zone"),
+        name: reader.name("name"),
+        region: reader.name("region"),
+        zone: reader.name("zone"),
         address,
-        listen: boot.address_or("listen", address),
+        listen: reader.address_or("listen", address),
         operator_address: desk,
-        data_dir: boot.text("data").into(),
-        seeds: boot.addresses("seeds"),
+        data_dir: reader.text("data").into(),
+        seeds: reader.addresses("seeds"),
         timing: Timing {
-            voters: boot.count("voters", 1, 9) as usize,
+            voters: reader.count("voters", 1, 9) as usize,
             ..Timing::default()
         },
-        max_forwarded_requests: boot.count("jobs", 0, 100_000) as usize,
-        max_forwarded_bytes: boot.count("bytes", 1 << 20, 1 << 31) as usize,
-        snapshot_every: boot.count("snapshot-every", 16, 1 << 20),
+        max_forwarded_requests: reader.count("jobs", 0, 100_000) as usize,
+        max_forwarded_bytes: reader.count("bytes", 1 << 20, 1 << 31) as usize,
+        snapshot_every: reader.count("snapshot-every", 16, 1 << 20),
         is_first_start: false,
         min_voters: 1,
         leave_timeout: Duration::from_millis(2_000),
         quota_margin: None,
         runtime: RuntimeFlavor::MultiThread,
     };
-    let level = boot.text("level");
+    let level = reader.text("level");
     if address == desk {
-        boot.complain("desk", "it can't be the same as `address`");
+        reader.reject("desk", "it can't be the same as `address`");
     }
-    boot.finish();
+    reader.exit_if_invalid();
     let run = || {
-        telemetry::logs::start("directory", &settings.name, &level)?;
+        telemetry::logging::init("directory", &settings.name, &level)?;
         directory::run(settings, Extensions::default())
     };
     if let Err(error) = run() {
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -38,8 +38,8 @@
     let path = request.uri().path().to_string();
     match (request.method().as_str(), path.as_str()) {
         ("GET", "/vitals") => vitals(control),
-        ("GET", "/counters") => web::json(200, &control.counters.value()),
-        ("GET", "/traffic") => web::json(200, &telemetry::traffic::value()),
+        ("GET", "/counters") => web::json(200, &control.metrics.to_json()),
+        ("GET", "/traffic") => web::json(200, &telemetry::traffic::to_json()),
         ("GET", "/status") => status(control).await,
         ("GET", "/book") => book(control).await,
         ("GET", "/explain") => explain(control, &request),
--- a/directory/src/subscriptions.rs
+++ b/directory/src/subscriptions.rs
@@ -194,7 +194,7 @@
                     service,
                     region,
                 } => {
-                    control.counters.one("resolves");
+                    control.metrics.increment("resolves");
                     let answer = resolve(&control, &tenant, &service, &region);
                     drop(out.try_send(Frame::Resolved { number, answer }));
                 }
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 use std::time::Duration;
-use telemetry::counters::Counters;
+use telemetry::metrics::Metrics;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use transport::web::{Refusal, JOB};
@@ -267,7 +267,7 @@
     pub room_wait: u64,
     pub roster: Arc<Roster>,
     pub view: watch::Receiver<Arc<View>>,
-    pub counters: Arc<Counters>,
+    pub metrics: Arc<Metrics>,
     pub budget: Budget,
     pub leave: Leave,
     pub carriage: Carriage,
@@ -347,7 +347,7 @@
             }
             let mut has_budget = || {
                 let has_budget = std::mem::take(&mut is_paid) || (self.budget)(&mapping.service);
-                self.counters.one(if has_budget {
+                self.metrics.increment(if has_budget {
                     "retries"
                 } else {
                     "retries-refused"
@@ -387,7 +387,7 @@
                     Err(error) => {
                         log::info!(job = parts.id.as_str(), engine = seat.name.as_str();
                             "engine can't be reached: {error}");
-                        self.counters.one("connect-failed");
+                        self.metrics.increment("connect-failed");
                         seat.suspect();
                         self.lanes.forget(&seat.name);
                         avoid.push(seat.name.clone());
@@ -440,7 +440,7 @@
             let lane = match (kept, stream) {
                 (Some(lane), _) => lane,
                 (None, Some(stream)) => {
-                    self.counters.one("connections");
+                    self.metrics.increment("connections");
                     let slot = Arc::new(Slot::default());
                     let gate = Gate {
                         stream: TokioIo::new(stream),
@@ -482,7 +482,7 @@
                         Ok(answer) => break 'answer Ok(answer.map_err(anyhow::Error::from)),
                         Err(_) if (self.budget)(&mapping.service) => {
                             is_paid = true;
-                            self.counters.one("left-late");
+                            self.metrics.increment("left-late");
                             break 'answer Ok(Err(anyhow::anyhow!("it takes too long")));
                         }
                         Err(_) => {}
@@ -508,7 +508,7 @@
                         Verdict::Misplaced => seat.ended(),
                         _ => seat.declined(),
                     }
-                    self.counters.one("declined");
+                    self.metrics.increment("declined");
                     avoid.push(seat.name.clone());
                     step(job, RequestEvent::NotRun);
                 }
@@ -529,7 +529,7 @@
                     };
                     log::warn!(job = parts.id.as_str(), engine = seat.name.as_str();
                         "not an answer to this job: {why}");
-                    self.counters.one("answers-foreign");
+                    self.metrics.increment("answers-foreign");
                     avoid.push(seat.name.clone());
                     step(job, RequestEvent::ResponseLost);
                     if job.state() == RequestState::Failed {
@@ -537,13 +537,13 @@
                     }
                 }
                 (Ok(Err(_)), _) if !has_left.load(Ordering::SeqCst) => {
-                    self.counters.one("held-at-the-gate");
+                    self.metrics.increment("held-at-the-gate");
                     step(job, RequestEvent::NothingSent);
                 }
                 (Ok(Err(error)), _) => {
                     log::info!(job = parts.id.as_str(), engine = seat.name.as_str();
                         "the answer was lost: {error}");
-                    self.counters.one("answers-lost");
+                    self.metrics.increment("answers-lost");
                     seat.suspect();
                     self.lanes.forget(&seat.name);
                     avoid.push(seat.name.clone());
@@ -622,11 +622,11 @@
         seat: &Seat,
         mapping: &Mapping,
     ) -> Box<dyn Fn() + Send> {
-        let (counters, view) = (Arc::clone(&self.counters), self.view.clone());
+        let (metrics, view) = (Arc::clone(&self.metrics), self.view.clone());
         let (id, engine, round) = (parts.id.clone(), seat.name.clone(), job.attempts());
         let (tenant, service) = (mapping.tenant.clone(), mapping.service.clone());
         Box::new(move || {
-            counters.one("dispatches");
+            metrics.increment("dispatches");
             log::info!(job = id.as_str(), engine = engine.as_str(), tenant = tenant.as_str(),
                 service = service.as_str(), round = round, epoch = view.borrow().epoch;
                 "dispatched");
@@ -682,7 +682,7 @@
             };
             let left = until.saturating_sub(now());
             if left == 0 {
-                self.counters.one("refused-no-room");
+                self.metrics.increment("refused-no-room");
                 return Err(refusal);
             }
             // The end of the wait is looked at above, with one more election.
@@ -710,7 +710,7 @@
             job,
             id: parts.id.clone(),
             seat,
-            counters: Arc::clone(&self.counters),
+            metrics: Arc::clone(&self.metrics),
             idle: Box::pin(tokio::time::sleep(IDLE)),
             lane: Some(lane),
             lanes: Arc::clone(&self.lanes),
@@ -748,7 +748,7 @@
     job: RequestStateMachine,
     id: String,
     seat: Seat,
-    counters: Arc<Counters>,
+    metrics: Arc<Metrics>,
     idle: Pin<Box<tokio::time::Sleep>>,
     lane: Option<Lane>,
     lanes: Arc<Lanes>,
@@ -779,16 +779,16 @@
             step(&mut self.job, event);
             match event {
                 RequestEvent::ResponseEnded => {
-                    self.counters.one("answers-whole");
+                    self.metrics.increment("answers-whole");
                     if let Some(lane) = self.lane.take() {
                         self.lanes.give(&self.seat.name, self.kept_ms, lane);
                     }
                 }
                 RequestEvent::ResponseBroken => {
-                    self.counters.one("answers-broken");
+                    self.metrics.increment("answers-broken");
                     self.seat.suspect();
                 }
-                _ => self.counters.one("callers-left"),
+                _ => self.metrics.increment("callers-left"),
             }
             log::info!(job = self.id.as_str(), engine = self.seat.name.as_str();
                 "{:?}", self.job.state());
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -89,7 +89,7 @@
                     return ForwardOutcome::Refused(Refusal::not_run(401, "unknown-key", text));
                 }
                 step(job, RequestEvent::Forwarded);
-                router.counters.one("forwards");
+                router.metrics.increment("forwards");
                 log::info!(job = parts.id.as_str(), directory = node.to_string(); "handed on");
                 let conversation = converse(router, job, parts, carried, permit, reader, writer);
                 let left = Duration::from_millis(parts.deadline.saturating_sub(now()));
@@ -104,7 +104,7 @@
                 };
             }
             Err(error) => {
-                router.counters.one("nodes-silent");
+                router.metrics.increment("nodes-silent");
                 log::info!(job = parts.id.as_str(); "{error:#}");
             }
         }
@@ -204,7 +204,7 @@
                     || code == "engines-unreachable" && has_budget()) =>
             {
                 step(job, RequestEvent::ForwardNotRun);
-                router.counters.one("handed-back");
+                router.metrics.increment("handed-back");
                 if code == "engines-unreachable" {
                     log::info!(job = parts.id.as_str(); "a further round");
                 }
@@ -236,12 +236,12 @@
                     _way: way,
                     _upload: upload,
                 };
-                let (id, counters) = (parts.id.clone(), Arc::clone(&router.counters));
+                let (id, metrics) = (parts.id.clone(), Arc::clone(&router.metrics));
                 tokio::spawn(async move {
                     match relay.run().await {
-                        Ok(()) => counters.one("relays-whole"),
+                        Ok(()) => metrics.increment("relays-whole"),
                         Err(error) => {
-                            counters.one("relays-broken");
+                            metrics.increment("relays-broken");
                             log::info!(job = id.as_str(); "the relay broke: {error:#}");
                         }
                     }
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -72,7 +72,7 @@
         return page;
     }
     let id = job_id(&router, &request);
-    router.counters.one("jobs");
+    router.metrics.increment("jobs");
     let in_flight = Arc::clone(&router.in_flight);
     let mut claim = None;
     match take(&router, request, &id, &mut claim).await {
@@ -87,7 +87,7 @@
             Response::from_parts(head, Body::wrap(body))
         }
         Err(refusal) => {
-            router.counters.one(match refusal.outcome {
+            router.metrics.increment(match refusal.outcome {
                 ExecutionOutcome::NotRun => "refused-not-run",
                 _ => "refused-unknown",
             });
@@ -366,7 +366,7 @@
         .admit(&tenant, terms, routers, router.settings.quota_wait)
         .await
     {
-        router.counters.one("refused-quota");
+        router.metrics.increment("refused-quota");
         return Err(refusal);
     }
     log::info!(job = id; "admitted");
@@ -476,7 +476,7 @@
     carried: &mut Carried,
     tenant: Option<String>,
 ) -> Result<Response, Refusal> {
-    router.counters.one("unkeyed");
+    router.metrics.increment("unkeyed");
     match forward::forward(router, &mut job, parts, carried, tenant.as_deref(), None).await {
         ForwardOutcome::Response(response) => Ok(response),
         ForwardOutcome::Refused(refusal) => Err(refusal),
@@ -533,7 +533,7 @@
 
 /// What the two layers hold. A stale hit is used at once and refreshed behind.
 async fn known(router: &Arc<Router>, key: &str, keyed: &Keyed) -> Option<Mapping> {
-    let count = |name| router.counters.one(name);
+    let count = |name| router.metrics.increment(name);
     match router.cache_tiers.get_local(key) {
         Hit::Fresh(mapping) => {
             count("own-fresh");
@@ -576,7 +576,7 @@
     );
     tokio::spawn(async move {
         tokio::time::sleep(transport::jitter(20)).await;
-        router.counters.one("refreshes");
+        router.metrics.increment("refreshes");
         let region = &router.settings.region;
         let answer = router
             .pending_lookups
@@ -608,7 +608,7 @@
         match router.cache_tiers.join_or_lead(key) {
             Ok(permit) => break permit,
             Err(mut brought) => {
-                router.counters.one("joined");
+                router.metrics.increment("joined");
                 let wait = brought.wait_for(|mapping| mapping.is_some());
                 match tokio::time::timeout(JOIN_PATIENCE, wait).await {
                     Ok(Ok(mapping)) => {
@@ -648,7 +648,7 @@
                 && carried.is_whole()
                 && (router.dispatcher.budget)(&keyed.service) =>
         {
-            router.counters.one("retries");
+            router.metrics.increment("retries");
             log::info!(job = parts.id.as_str(); "a further round");
         }
         ForwardOutcome::Refused(refusal) => return Err(refusal),
@@ -664,7 +664,7 @@
     permit: &LookupPermit,
     keyed: &Keyed,
 ) -> Result<Missed, Refusal> {
-    router.counters.one("key-only");
+    router.metrics.increment("key-only");
     let region = &router.settings.region;
     match router
         .pending_lookups
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -25,7 +25,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use telemetry::counters::Counters;
+use telemetry::metrics::Metrics;
 use tokio::sync::watch;
 use transport::now;
 use transport::web::{self, Refusal};
@@ -87,7 +87,7 @@
     pub heartbeats: AtomicU64,
     pub dispatcher: Dispatcher,
     pub extensions: Extensions,
-    pub counters: Arc<Counters>,
+    pub metrics: Arc<Metrics>,
     /// Held by every job that is under way.
     pub in_flight: Arc<()>,
     /// The ids that are under way, each with the digest of its tenant key.
@@ -128,7 +128,7 @@
 /// # Errors
 /// An address that can't be listened at.
 pub async fn run(settings: Settings, mut extensions: Extensions) -> anyhow::Result<()> {
-    let counters = Arc::new(Counters::default());
+    let metrics = Arc::new(Metrics::default());
     let (view, view_out) = watch::channel(Arc::new(View::default()));
     let membership = Arc::new(RwLock::new(membership::Membership::default()));
     let known = Arc::clone(&membership);
@@ -159,7 +159,7 @@
             room_wait: settings.slot_wait_ms,
             roster,
             view: view_out,
-            counters: Arc::clone(&counters),
+            metrics: Arc::clone(&metrics),
             budget: Box::new(move |service| {
                 // A part of the fleet that sees no other is not the whole of it.
                 let known = sharers.read().count().max(fleet.borrow().fleet as usize);
@@ -193,7 +193,7 @@
             heartbeats: AtomicU64::new(0),
             dispatcher,
             extensions,
-            counters,
+            metrics,
             in_flight: Arc::new(()),
             claims: Mutex::default(),
             settings,
@@ -269,8 +269,8 @@
             });
             web::json(if is_well { 200 } else { 503 }, &value)
         }
-        ("GET", "/counters") => web::json(200, &router.counters.value()),
-        ("GET", "/traffic") => web::json(200, &telemetry::traffic::value()),
+        ("GET", "/counters") => web::json(200, &router.metrics.to_json()),
+        ("GET", "/traffic") => web::json(200, &telemetry::traffic::to_json()),
         (_, path) => {
             let text = format!("there is no {path} for this method");
             web::json(
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -2,7 +2,7 @@
 //! project's own interface.
 
 use router::{Extensions, Settings, ENGINE_SLOT_WAIT_MS};
-use settings::{setting, Boot, Setting};
+use settings::{setting, Setting, SettingsReader};
 use std::time::Duration;
 
 const SETTINGS: &[Setting] = &[
@@ -92,49 +92,49 @@
 ];
 
 fn main() {
-    let mut boot = Boot::read(
+    let mut reader = SettingsReader::read(
         "router",
         "A rushport router: takes callers' jobs and streams them to engines.",
         SETTINGS,
     );
-    let address = boot.address("address");
+    let address = reader.address("address");
     let settings = Settings {
-        name: boot.name("name"),
-        region: boot.name("region"),
-        zone: boot.name("zone"),
-        ingress_address: boot.address("door"),
+        name: reader.name("name"),
+        region: reader.name("region"),
+        zone: reader.name("zone"),
+        ingress_address: reader.address("door"),
         peer_address: address,
-        peer_listen_address: boot.address_or("listen", address),
-        body_head_timeout: Duration::from_millis(boot.count("head-ms", 1, 600_000)),
-        quota_wait: Duration::from_millis(boot.count("quota-ms", 0, 60_000)),
-        max_requests: boot.count("jobs", 1, 1 << 20) as usize,
-        seeds: boot.addresses("seeds"),
-        max_body_bytes: boot.count("body", 1 << 10, 1 << 30) as usize,
-        operator_address: boot.address("desk"),
-        local_cache_entries: boot.count("own-cache", 1, 1 << 20) as usize,
-        regional_cache_entries: boot.count("share", 1, 1 << 24) as usize,
-        drain_period: Duration::from_millis(boot.count("leave-ms", 0, 600_000)),
-        shutdown_grace: Duration::from_millis(boot.count("stop-ms", 0, 600_000)),
+        peer_listen_address: reader.address_or("listen", address),
+        body_head_timeout: Duration::from_millis(reader.count("head-ms", 1, 600_000)),
+        quota_wait: Duration::from_millis(reader.count("quota-ms", 0, 60_000)),
+        max_requests: reader.count("jobs", 1, 1 << 20) as usize,
+        seeds: reader.addresses("seeds"),
+        max_body_bytes: reader.count("body", 1 << 10, 1 << 30) as usize,
+        operator_address: reader.address("desk"),
+        local_cache_entries: reader.count("own-cache", 1, 1 << 20) as usize,
+        regional_cache_entries: reader.count("share", 1, 1 << 24) as usize,
+        drain_period: Duration::from_millis(reader.count("leave-ms", 0, 600_000)),
+        shutdown_grace: Duration::from_millis(reader.count("stop-ms", 0, 600_000)),
         slot_wait_ms: ENGINE_SLOT_WAIT_MS,
         buffered_body_bytes: 0,
         resolves_by_key_only: false,
-        lease_grace_ms: boot.count("lease-grace-ms", 0, 600_000),
+        lease_grace_ms: reader.count("lease-grace-ms", 0, 600_000),
         heartbeat_interval_ms: 350,
     };
-    let level = boot.text("level");
+    let level = reader.text("level");
     if settings.seeds.is_empty() {
-        boot.complain(
+        reader.reject(
             "seeds",
             "a router needs the address of a directory node at least",
         );
     }
     let (door, desk) = (settings.ingress_address, settings.operator_address);
     if door == settings.peer_address || door == desk || settings.peer_address == desk {
-        boot.complain("door", "door, address and desk can't be the same");
+        reader.reject("door", "door, address and desk can't be the same");
     }
-    boot.finish();
+    reader.exit_if_invalid();
     let run = || -> anyhow::Result<()> {
-        telemetry::logs::start("router", &settings.name, &level)?;
+        telemetry::logging::init("router", &settings.name, &level)?;
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()?;
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -203,7 +203,7 @@
         }
         Ok(Ok(_)) => Hit::Miss,
         _ => {
-            router.counters.one("neighbours-silent");
+            router.metrics.increment("neighbours-silent");
             Hit::Miss
         }
     }
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -172,7 +172,7 @@
     let (mut reader, mut writer) = stream.into_split();
     let (out, mut queue) = mpsc::channel(256);
     *router.pending_lookups.out.lock() = Some((way, out));
-    router.counters.one("sessions");
+    router.metrics.increment("sessions");
     let (frames, mut incoming) = mpsc::channel(64);
     let reading = tokio::spawn(async move {
         loop {
@@ -240,7 +240,7 @@
                 router.cache_tiers.invalidate_all(epoch);
             }
             router.view.send_replace(Arc::clone(replica_view.view()));
-            router.counters.one("pictures");
+            router.metrics.increment("pictures");
             log::info!(epoch = epoch; "a picture is in force");
         }
         Frame::Change {
@@ -254,7 +254,7 @@
             // The caches first: whoever sees the new view finds nothing void.
             router.cache_tiers.invalidate(epoch, &events);
             router.view.send_replace(Arc::clone(replica_view.view()));
-            router.counters.one("changes");
+            router.metrics.increment("changes");
             log::info!(epoch = epoch; "in force");
         }
         Frame::Company(news) => router.membership.write().take(&router.settings.name, &news),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Boot settings: a JSON file, flags over it, everything checked at once.
+//! A program's settings: a JSON file, flags over it, everything checked at once.
 
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
@@ -29,16 +29,16 @@
 
 /// Settings as given. Invariant: a value that did not check out has left a
 /// complaint, and `finish` lets nobody past one.
-pub struct Boot {
+pub struct SettingsReader {
     program: &'static str,
     values: BTreeMap<String, String>,
     complaints: Vec<String>,
 }
 
-impl Boot {
+impl SettingsReader {
     /// Reads the command line, and the file that it may name. Prints the help
     /// text and ends the process where it was asked for.
-    pub fn read(program: &'static str, about: &str, settings: &[Setting]) -> Boot {
+    pub fn read(program: &'static str, about: &str, settings: &[Setting]) -> SettingsReader {
         let mut options = getopts::Options::new();
         options.optflag("h", "help", "say this and end");
         options.optflag("V", "version", "say the version and end");
@@ -57,7 +57,7 @@
             };
             options.optopt("", setting.name, &help, setting.hint);
         }
-        let mut boot = Boot {
+        let mut reader = SettingsReader {
             program,
             values: BTreeMap::new(),
             complaints: Vec::new(),
@@ -65,9 +65,9 @@
         let matches = match options.parse(std::env::args().skip(1)) {
             Ok(matches) => matches,
             Err(error) => {
-                boot.complaints.push(error.to_string());
-                boot.finish();
-                return boot;
+                reader.complaints.push(error.to_string());
+                reader.exit_if_invalid();
+                return reader;
             }
         };
         if matches.opt_present("help") {
@@ -80,23 +80,24 @@
             std::process::exit(0);
         }
         for word in &matches.free {
-            boot.complaints
+            reader
+                .complaints
                 .push(format!("{word}: nothing is known of this word"));
         }
         for setting in settings {
             if let Some(default) = setting.default {
-                boot.values.insert(setting.name.into(), default.into());
+                reader.values.insert(setting.name.into(), default.into());
             }
         }
         if let Some(path) = matches.opt_str("boot") {
-            boot.read_file(&path, settings);
+            reader.read_file(&path, settings);
         }
         for setting in settings {
             if let Some(value) = matches.opt_str(setting.name) {
-                boot.values.insert(setting.name.into(), value);
+                reader.values.insert(setting.name.into(), value);
             }
         }
-        boot
+        reader
     }
 
     fn read_file(&mut self, path: &str, settings: &[Setting]) {
@@ -138,7 +139,7 @@
         }
     }
 
-    pub fn complain(&mut self, name: &str, text: impl Display) {
+    pub fn reject(&mut self, name: &str, text: impl Display) {
         self.complaints.push(format!("{name}: {text}"));
     }
 
@@ -146,7 +147,7 @@
         match self.values.get(name) {
             Some(text) => text.clone(),
             None => {
-                self.complain(name, "this setting is missing");
+                self.reject(name, "this setting is missing");
                 String::new()
             }
         }
@@ -159,7 +160,7 @@
         if self.values.contains_key(name)
             && (text.is_empty() || text.len() > 64 || !text.chars().all(fits))
         {
-            self.complain(
+            self.reject(
                 name,
                 "a name is 1 to 64 letters, digits, dots, dashes, underscores",
             );
@@ -169,7 +170,7 @@
 
     fn parsed(&mut self, name: &str, text: &str) -> SocketAddr {
         text.parse().unwrap_or_else(|_| {
-            self.complain(name, format!("{text:?} is no IP number and port"));
+            self.reject(name, format!("{text:?} is no IP number and port"));
             SocketAddr::from(([127, 0, 0, 1], 0))
         })
     }
@@ -209,7 +210,7 @@
         match text.parse() {
             Ok(count) if (least..=most).contains(&count) => count,
             _ => {
-                self.complain(
+                self.reject(
                     name,
                     format!("{text:?} is no whole number from {least} to {most}"),
                 );
@@ -219,7 +220,7 @@
     }
 
     /// Ends the process with 2 where anything was wrong, saying all of it.
-    pub fn finish(&self) {
+    pub fn exit_if_invalid(&self) {
         if self.complaints.is_empty() {
             return;
         }
--- a/telemetry/src/lib.rs
+++ b/telemetry/src/lib.rs
@@ -1,5 +1,5 @@
-//! Logs, counters and the traffic of framed links.
+//! Logging, metrics and the traffic of framed links.
 
-pub mod counters;
-pub mod logs;
+pub mod logging;
+pub mod metrics;
 pub mod traffic;
--- a/telemetry/src/logs.rs
+++ b/telemetry/src/logging.rs
@@ -18,7 +18,7 @@
 }
 
 /// Sets logging up once, for a process of this kind and name.
-pub fn start(kind: &'static str, name: &str, level: &str) -> anyhow::Result<()> {
+pub fn init(kind: &'static str, name: &str, level: &str) -> anyhow::Result<()> {
     let level: log::LevelFilter = level
         .parse()
         .map_err(|_| anyhow::anyhow!("{level:?} is no level: error, warn, info, debug, trace"))?;
--- a/telemetry/src/traffic.rs
+++ b/telemetry/src/traffic.rs
@@ -32,17 +32,17 @@
 static RECEIVED: Way = Way::new();
 
 /// A frame with its length before it, as it goes out.
-pub fn sent(encoded: &[u8]) {
+pub fn count_sent(encoded: &[u8]) {
     SENT.count(encoded.get(4).copied().unwrap_or(0), encoded.len());
 }
 
 /// A frame's body, as it came in.
-pub fn received(body: &[u8]) {
+pub fn count_received(body: &[u8]) {
     RECEIVED.count(body.first().copied().unwrap_or(0), body.len() + 4);
 }
 
 /// All that went over this process's links since its start.
-pub fn value() -> OwnedValue {
+pub fn to_json() -> OwnedValue {
     let mut sums: BTreeMap<&'static str, [u64; 4]> = BTreeMap::new();
     for kind in 0..KINDS {
         let counts = [&SENT.frames, &SENT.bytes, &RECEIVED.frames, &RECEIVED.bytes];
--- a/testbed/src/bin/day.rs
+++ b/testbed/src/bin/day.rs
@@ -1,6 +1,6 @@
 //! Makes a sample day from a deployment's shape, by a seed.
 
-use settings::{setting, Boot, Setting};
+use settings::{setting, Setting, SettingsReader};
 
 const SETTINGS: &[Setting] = &[
     setting(
@@ -25,16 +25,16 @@
 ];
 
 fn main() {
-    let mut boot = Boot::read(
+    let mut reader = SettingsReader::read(
         "day",
         "Makes a sample day, as JSON lines on standard output.",
         SETTINGS,
     );
-    let shape = boot.text("shape");
-    let seconds = boot.count("seconds", 1, 86_400);
-    let scale = boot.count("scale", 1, 10_000) as f64 / 100.0;
-    let seed = boot.count("seed", 0, u64::MAX);
-    boot.finish();
+    let shape = reader.text("shape");
+    let seconds = reader.count("seconds", 1, 86_400);
+    let scale = reader.count("scale", 1, 10_000) as f64 / 100.0;
+    let seed = reader.count("seed", 0, u64::MAX);
+    reader.exit_if_invalid();
     let run = || -> anyhow::Result<()> {
         let text = std::fs::read_to_string(&shape)?;
         for moment in testbed::day::make(&text, None, seconds, scale, seed)? {
--- a/testbed/src/bin/engine.rs
+++ b/testbed/src/bin/engine.rs
@@ -1,6 +1,6 @@
 //! A stand-in engine as a process of its own.
 
-use settings::{setting, Boot, Setting};
+use settings::{setting, Setting, SettingsReader};
 
 const SETTINGS: &[Setting] = &[
     setting("name", "NAME", "the engine's name", None),
@@ -19,22 +19,22 @@
 ];
 
 fn main() {
-    let mut boot = Boot::read(
+    let mut reader = SettingsReader::read(
         "engine",
         "A stand-in engine, for tests and trials.",
         SETTINGS,
     );
     let settings = testbed::engine::Settings {
-        name: boot.name("name"),
-        address: boot.address("address"),
-        slots: boot.count("slots", 1, 10_000) as u32,
-        pieces: boot.count("pieces", 1, 10_000) as u32,
-        piece_ms: boot.count("piece-ms", 0, 60_000),
-        prefill_ms: boot.count("prefill-ms", 0, 60_000),
-        is_cold: boot.count("cold", 0, 1) == 1,
-        journal: boot.text("journal").into(),
+        name: reader.name("name"),
+        address: reader.address("address"),
+        slots: reader.count("slots", 1, 10_000) as u32,
+        pieces: reader.count("pieces", 1, 10_000) as u32,
+        piece_ms: reader.count("piece-ms", 0, 60_000),
+        prefill_ms: reader.count("prefill-ms", 0, 60_000),
+        is_cold: reader.count("cold", 0, 1) == 1,
+        journal: reader.text("journal").into(),
     };
-    boot.finish();
+    reader.exit_if_invalid();
     let run = || -> anyhow::Result<()> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
--- a/testbed/src/bin/fleet.rs
+++ b/testbed/src/bin/fleet.rs
@@ -1,7 +1,7 @@
 //! Starts a whole deployment on this machine and keeps it until it is told to
 //! stop.
 
-use settings::{setting, Boot, Setting};
+use settings::{setting, Setting, SettingsReader};
 use std::convert::Infallible;
 use std::path::{Path, PathBuf};
 use testbed::fleet::{Fleet, Shape};
@@ -12,9 +12,9 @@
 ];
 
 fn main() {
-    let mut boot = Boot::read("fleet", "A whole deployment on one machine.", SETTINGS);
-    let (shape, folder) = (boot.text("shape"), PathBuf::from(boot.text("folder")));
-    boot.finish();
+    let mut reader = SettingsReader::read("fleet", "A whole deployment on one machine.", SETTINGS);
+    let (shape, folder) = (reader.text("shape"), PathBuf::from(reader.text("folder")));
+    reader.exit_if_invalid();
     let run = || -> anyhow::Result<()> {
         let shape = Shape::read(shape.as_ref())?;
         let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/testbed/src/bin/replay.rs
+++ b/testbed/src/bin/replay.rs
@@ -1,6 +1,6 @@
 //! Plays a recorded day against a fleet, and reports counts by outcome.
 
-use settings::{setting, Boot, Setting};
+use settings::{setting, Setting, SettingsReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use testbed::fleet::{Fleet, Shape};
@@ -30,32 +30,32 @@
 ];
 
 fn main() {
-    let mut boot = Boot::read(
+    let mut reader = SettingsReader::read(
         "replay",
         "Plays a recorded day against a fleet of its own, or one that runs already.\n\
          With its own fleet it also judges the journals by the rules, and ends with 1\n\
          where one is broken.",
         SETTINGS,
     );
-    let (path, shape) = (boot.text("day"), boot.text("shape"));
-    let folder = PathBuf::from(boot.text("folder"));
-    let (doors, desks) = (boot.addresses("doors"), boot.addresses("desks"));
+    let (path, shape) = (reader.text("day"), reader.text("shape"));
+    let folder = PathBuf::from(reader.text("folder"));
+    let (doors, desks) = (reader.addresses("doors"), reader.addresses("desks"));
     if doors.is_empty() != desks.is_empty() {
-        boot.complain("doors", "doors and desks go together");
+        reader.reject("doors", "doors and desks go together");
     }
     let day = match std::fs::read_to_string(&path) {
         Ok(text) => day::parse(&text).unwrap_or_else(|complaints| {
             complaints
                 .iter()
-                .for_each(|complaint| boot.complain(&path, complaint));
+                .for_each(|complaint| reader.reject(&path, complaint));
             Vec::new()
         }),
         Err(error) => {
-            boot.complain(&path, error);
+            reader.reject(&path, error);
             Vec::new()
         }
     };
-    boot.finish();
+    reader.exit_if_invalid();
     match run(day, &shape, folder, doors, desks) {
         Ok(true) => {}
         Ok(false) => std::process::exit(1),
--- a/testbed/src/bin/scenarios.rs
+++ b/testbed/src/bin/scenarios.rs
@@ -2,7 +2,7 @@
 //! cut, and judges each by the rules: scenarios from a file, or days drawn from
 //! seeds.
 
-use settings::{setting, Boot, Setting};
+use settings::{setting, Setting, SettingsReader};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::path::{Path, PathBuf};
@@ -57,50 +57,50 @@
 }
 
 fn main() {
-    let mut boot = Boot::read(
+    let mut reader = SettingsReader::read(
         "scenarios",
         "Brings failures about and judges the rules.",
         SETTINGS,
     );
-    let (scenarios, shapes) = (boot.text("scenarios"), boot.text("shape"));
-    let folder = PathBuf::from(boot.text("folder"));
-    let only = boot.text("only");
-    let seconds = boot.count("seconds", 5, 3_600);
-    let scale = boot.count("scale", 1, 10_000) as f64 / 100.0;
-    let seed = boot.count("seed", 0, u64::MAX);
-    let range = boot.text("seeds");
-    let kinds = boot.text("kinds");
+    let (scenarios, shapes) = (reader.text("scenarios"), reader.text("shape"));
+    let folder = PathBuf::from(reader.text("folder"));
+    let only = reader.text("only");
+    let seconds = reader.count("seconds", 5, 3_600);
+    let scale = reader.count("scale", 1, 10_000) as f64 / 100.0;
+    let seed = reader.count("seed", 0, u64::MAX);
+    let range = reader.text("seeds");
+    let kinds = reader.text("kinds");
     let kinds: Vec<&str> = kinds.split(',').filter(|kind| !kind.is_empty()).collect();
     let seeds = range_of(&range).unwrap_or_else(|text| {
-        boot.complain("seeds", text);
+        reader.reject("seeds", text);
         Vec::new()
     });
     let seeds = if range.is_empty() { vec![seed] } else { seeds };
-    let is_printed = match boot.text("print").as_str() {
+    let is_printed = match reader.text("print").as_str() {
         "yes" => true,
         "no" => false,
         other => {
-            boot.complain("print", format!("{other:?} is neither yes nor no"));
+            reader.reject("print", format!("{other:?} is neither yes nor no"));
             false
         }
     };
     if !scenarios.is_empty() && !range.is_empty() {
-        boot.complain("seeds", "scenarios from a file take one `seed`");
+        reader.reject("seeds", "scenarios from a file take one `seed`");
     }
     if !scenarios.is_empty() && !kinds.is_empty() {
-        boot.complain("kinds", "the faults of scenarios from a file stand there");
+        reader.reject("kinds", "the faults of scenarios from a file stand there");
     }
     if scenarios.is_empty() && !only.is_empty() {
-        boot.complain("only", "it names scenarios of a file, and none is given");
+        reader.reject("only", "it names scenarios of a file, and none is given");
     }
     let mut days = Vec::new();
     for path in shapes.split(',').filter(|path| !path.is_empty()) {
         match laid_out(path, &scenarios, &only, &seeds, &kinds, (seconds, scale)) {
             Ok(list) => days.extend(list),
-            Err(error) => boot.complain(path, format!("{error:#}")),
+            Err(error) => reader.reject(path, format!("{error:#}")),
         }
     }
-    boot.finish();
+    reader.exit_if_invalid();
     if is_printed {
         days.iter()
             .for_each(|day| println!("{}", day.scenario.encode()));
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -330,7 +330,7 @@
 ) -> web::Response {
     let number = |name: &str| web::query(request.uri(), name).and_then(|text| text.parse().ok());
     match (request.method().as_str(), request.uri().path()) {
-        ("GET", "/traffic") => web::json(200, &telemetry::traffic::value()),
+        ("GET", "/traffic") => web::json(200, &telemetry::traffic::to_json()),
         ("GET", "/figures") => {
             let (mut lease_valid, mut sessions, mut leases, mut beats) = (0u64, 0u64, 0u64, 0u64);
             let (mut lowest, mut known, mut engines) = (u64::MAX, u64::MAX, u64::MAX);
--- a/testbed/tests/gate.rs
+++ b/testbed/tests/gate.rs
@@ -172,7 +172,7 @@
                 room_wait: 0,
                 roster: Arc::clone(&roster),
                 view: view_out,
-                counters: Default::default(),
+                metrics: Default::default(),
                 budget: Box::new(|_| false),
                 // Asked last in each look: what it changes is seen by the next.
                 leave: Arc::new(move |_| {
--- a/transport/src/link.rs
+++ b/transport/src/link.rs
@@ -53,7 +53,7 @@
 pub async fn send(to: &mut (impl AsyncWrite + Unpin), frame: &Frame) -> anyhow::Result<()> {
     let bytes = protocol::encode(frame);
     to.write_all(&bytes).await?;
-    traffic::sent(&bytes);
+    traffic::count_sent(&bytes);
     Ok(())
 }
 
@@ -78,7 +78,7 @@
     if read < length {
         bail!("the connection ended within a frame");
     }
-    traffic::received(&bytes);
+    traffic::count_received(&bytes);
     protocol::decode(&bytes)
         .map(Some)
         .map_err(|text| anyhow!("an unreadable frame: {text}"))
