--- a/testbed/src/checker/ground.rs
+++ b/checker/src/ground.rs
@@ -1,6 +1,6 @@
 //! The deployment that is judged: where its processes are, and what tenants may.
 
-use crate::fleet::Shape;
+use simd_json::OwnedValue;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where things stand, and what tenants may.
@@ -22,10 +22,10 @@
     /// Of a shape's book and the places of its processes: name, kind, region,
     /// zone, slots.
     pub fn of<'p>(
-        shape: &Shape,
+        book: &OwnedValue,
         places: impl Iterator<Item = (&'p str, bool, &'p str, &'p str, u64)>,
     ) -> Ground {
-        let book = residency::Book::read(&shape.book).expect("a shape's book reads");
+        let book = residency::Book::read(book).expect("a shape's book reads");
         let mut ground = Ground {
             zone_regions: book.zones.clone(),
             homes: book
--- a/testbed/tests/checker.rs
+++ b/checker/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The checker finds what breaks a rule, and nothing else.
 
+use checker::{check, Ground, Journals, Rule};
 use simd_json::OwnedValue;
-use testbed::checker::{check, Ground, Journals, Rule};
 
 const S: u64 = 1_000_000;
 
--- a/testbed/src/simulator/mod.rs
+++ b/simulator/src/lib.rs
@@ -7,6 +7,7 @@
 mod disk;
 mod faults;
 mod history;
+mod linearizability;
 mod losses;
 mod machine;
 mod network;
--- a/testbed/tests/simulator.rs
+++ b/simulator/tests/simulator.rs
@@ -1,6 +1,6 @@
 //! Fixed seeds of the simulator. Seeds that once failed stay.
 
-use testbed::simulator::{
+use simulator::{
     OperatorPlan, PlantedFault, Simulation, Weather, CALM, FULL, LARGE_SITE, OPERATORS,
     OPERATORS_UNDER_LOSSES, PLANNED_REPLACEMENTS, POWER, REPLACEMENTS, SMALL_SITE, STORM,
     SUCCESSION,
@@ -159,7 +159,7 @@
 }
 
 /// Run by hand, over as many seeds as one likes:
-/// `SEEDS=1000-2000 WEATHER=small cargo test --release -p testbed --test simulator -- --ignored`.
+/// `SEEDS=1000-2000 WEATHER=small cargo test --release -p simulator --test simulator -- --ignored`.
 #[test]
 #[ignore = "a sweep, for whoever has the time"]
 fn sweep() {
@@ -192,8 +192,7 @@
             }
         }
     }
-    let sum =
-        |ask: fn(&testbed::simulator::Report) -> usize| reports.iter().map(ask).sum::<usize>();
+    let sum = |ask: fn(&simulator::Report) -> usize| reports.iter().map(ask).sum::<usize>();
     println!(
         "{} seeds: {} acknowledged, {} confirmed, {} elections, {} crashes, {} disks lost, \
          {} snapshots installed, {} losses, {} machines replaced, {} operations answered, \
--- a/testbed/tests/wal.rs
+++ b/simulator/tests/wal.rs
@@ -4,7 +4,7 @@
 use consensus::node::Write;
 use consensus::wal::{Files, WriteAheadLog, FORMAT};
 use consensus::{Entry, EntryPayload, HardState, Membership, Snapshot};
-use testbed::simulator::MemoryFiles;
+use simulator::MemoryFiles;
 
 fn entry(index: u64, term: u64) -> Write {
     let payload = EntryPayload::Command(format!("entry {index} of {term}").into_bytes());
--- a/testbed/src/bin/scenarios.rs
+++ b/testbed/src/bin/scenarios.rs
@@ -2,13 +2,13 @@
 //! cut, and judges each by the rules: scenarios from a file, or days drawn from
 //! seeds.
 
+use checker::text;
 use settings::{setting, Setting, SettingsReader};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::path::{Path, PathBuf};
-use testbed::checker::text;
 use testbed::fleet::{Fleet, Shape};
-use testbed::{checker, day, faults, replay};
+use testbed::{day, faults, replay};
 
 const SETTINGS: &[Setting] = &[
     setting(
--- a/testbed/src/day.rs
+++ b/testbed/src/day.rs
@@ -1,6 +1,7 @@
 //! A recorded day: JSON lines, in the order of their times. The format is on
 //! the page docs/replay.md.
 
+use crate::random::XorShift64;
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
 use std::collections::BTreeMap;
@@ -263,13 +264,6 @@
     }
 }
 
-fn draw(seed: &mut u64) -> f64 {
-    *seed ^= *seed << 13;
-    *seed ^= *seed >> 7;
-    *seed ^= *seed << 17;
-    (*seed >> 11) as f64 / (1u64 << 53) as f64
-}
-
 /// Makes a day of `seconds` from a shape's `mix`, by a seed, with the events of
 /// a scenario, or the shape's own where none is given.
 pub fn make(
@@ -281,7 +275,7 @@
 ) -> anyhow::Result<Vec<Moment>> {
     let value = residency::parse_text(shape).map_err(|text| anyhow::anyhow!(text))?;
     let missing = |name: &str| anyhow::anyhow!("{name}: it is missing or not what it should be");
-    let mut seed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
+    let mut random = XorShift64::from_seed(seed);
     let mut tenants: Vec<String> = value
         .get("keys")
         .and_then(|v| v.as_object())
@@ -303,8 +297,8 @@
         .enumerate()
         .map(|(n, t)| (t.clone(), 1.0 / (n + 1) as f64))
         .collect();
-    let elect = |of: &[(String, f64)], seed: &mut u64| {
-        let mut mark = draw(seed) * of.iter().map(|(_, weight)| weight).sum::<f64>();
+    let elect = |of: &[(String, f64)], random: &mut XorShift64| {
+        let mut mark = random.fraction() * of.iter().map(|(_, weight)| weight).sum::<f64>();
         let found = of.iter().find(|(_, weight)| {
             mark -= weight;
             mark < 0.0
@@ -356,13 +350,13 @@
             let rate = count("per_second", 1.0) * scale * times;
             let mut at = from * seconds as f64 * 1000.0;
             loop {
-                at += -(1.0 - draw(&mut seed)).ln() / rate * 1000.0;
+                at += -(1.0 - random.fraction()).ln() / rate * 1000.0;
                 if at >= to * seconds as f64 * 1000.0 {
                     break;
                 }
-                let tenant = elect(&weights, &mut seed);
+                let tenant = elect(&weights, &mut random);
                 let tenant = crowd_tenant.clone().unwrap_or(tenant);
-                let zone = elect(&zones, &mut seed);
+                let zone = elect(&zones, &mut random);
                 let mut line = kind.clone();
                 for field in ["per_second", "shortest", "longest", "prefixes"] {
                     drop(line.remove(field));
@@ -371,8 +365,8 @@
                 line.insert("zone", crowd_zone.clone().unwrap_or(zone))?;
                 if most > 0.0 {
                     let who = tenants.iter().position(|t| *t == tenant).unwrap_or(0) as u64;
-                    let beginning = who * 1000 + (draw(&mut seed).powi(2) * prefixes) as u64;
-                    let length = (least + draw(&mut seed).powi(3) * (most - least)) as u64;
+                    let beginning = who * 1000 + (random.fraction().powi(2) * prefixes) as u64;
+                    let length = (least + random.fraction().powi(3) * (most - least)) as u64;
                     line.insert("prompt", vec![beginning, length])?;
                 }
                 line.insert("tenant", tenant)?;
--- a/testbed/src/faults.rs
+++ b/testbed/src/faults.rs
@@ -2,17 +2,18 @@
 //! moments, and then everything well again for the last quarter, so that the
 //! way back is judged, too.
 
+use crate::random::XorShift64;
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
 
 /// When everything is put right, as a share of the day.
 const WELL: f64 = 0.72;
 
-struct Draw(u64);
+struct Draw(XorShift64);
 
 impl Draw {
     fn below(&mut self, most: usize) -> usize {
-        crate::simulator::draw(&mut self.0, most as u64) as usize
+        self.0.below(most as u64) as usize
     }
 
     fn share(&mut self, from: f64, to: f64) -> f64 {
@@ -122,7 +123,7 @@
         anyhow::bail!("{kind} is no kind of fault; there are {}", KINDS.join(", "));
     }
     let ground = Ground::of(shape)?;
-    let mut draw = Draw(seed.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+    let mut draw = Draw(XorShift64::from_seed(seed.wrapping_add(1)));
     // The first numbers of near seeds are near each other.
     (0..8).for_each(|_| {
         draw.below(2);
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins and proof: engines, callers, a whole fleet on one machine, the
-//! rules' checker. For development only; no daemon uses this package.
+//! A whole fleet of real processes on one machine, with simulated engines and clients,
+//! injected faults, and the replay of recorded days. For development only; no daemon
+//! uses this package.
 
 pub mod caller;
-pub mod checker;
 pub mod children;
 pub mod day;
 pub mod engine;
@@ -10,8 +10,7 @@
 pub mod fleet;
 pub mod hollow;
 pub mod journal;
-pub mod linearizability;
 pub mod plot;
+pub mod random;
 pub mod relay;
 pub mod replay;
-pub mod simulator;
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -2,11 +2,11 @@
 //! a fleet of its own, what happens to machines.
 
 use crate::caller::{call, Call, Seen};
-use crate::checker::{check, Finding, Ground, Journals};
 use crate::children;
 use crate::day::{Job, Moment, What};
 use crate::fleet::{program, Fleet, Kind};
 use crate::journal::{self, wall, Journal};
+use checker::{check, Finding, Ground, Journals};
 use parking_lot::Mutex;
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
@@ -535,7 +535,10 @@
     journals
         .nodes
         .sort_by_key(|line| line.get("at").and_then(|v| v.as_u64()));
-    let findings = check(&Ground::of(&fleet.shape, places.into_iter()), &journals);
+    let findings = check(
+        &Ground::of(&fleet.shape.book, places.into_iter()),
+        &journals,
+    );
     Ok((journals, findings))
 }
 
