--- a/checker/src/ground.rs
+++ b/checker/src/ground.rs
@@ -25,7 +25,7 @@
         book: &OwnedValue,
         places: impl Iterator<Item = (&'p str, bool, &'p str, &'p str, u64)>,
     ) -> Ground {
-        let book = residency::Book::read(book).expect("a shape's book reads");
+        let book = residency::Topology::from_json(book).expect("a shape's book reads");
         let mut ground = Ground {
             zone_regions: book.zones.clone(),
             homes: book
@@ -37,15 +37,15 @@
             paces: book
                 .tenants
                 .iter()
-                .filter(|(_, tenant)| tenant.pace > 0)
-                .map(|(name, tenant)| (name.clone(), (tenant.pace, tenant.burst)))
+                .filter(|(_, tenant)| tenant.rate_per_s > 0)
+                .map(|(name, tenant)| (name.clone(), (tenant.rate_per_s, tenant.burst)))
                 .collect(),
             ..Ground::default()
         };
         for (name, is_engine, region, zone, slots) in places {
             let (name, region) = (name.to_string(), region.to_string());
             if is_engine {
-                let point = (slots as f64 * book.points.fill).ceil() as u64;
+                let point = (slots as f64 * book.set_points.fill).ceil() as u64;
                 ground.engine_zones.insert(name.clone(), zone.to_string());
                 ground.engine_slots.insert(name.clone(), (slots, point));
                 ground.engine_regions.insert(name, region);
--- a/checker/tests/checker.rs
+++ b/checker/tests/checker.rs
@@ -6,7 +6,7 @@
 const S: u64 = 1_000_000;
 
 fn lines(text: &str) -> Vec<OwnedValue> {
-    let read = |line: &str| residency::parse_text(line).expect("a line of the case reads");
+    let read = |line: &str| residency::parse_json(line).expect("a line of the case reads");
     text.lines()
         .map(str::trim)
         .filter(|line| !line.is_empty())
--- a/directory/src/driver/thread/requests.rs
+++ b/directory/src/driver/thread/requests.rs
@@ -101,7 +101,7 @@
                 // conflict or a refusal may rest on old state, at a leader that has
                 // just been elected or is cut off: it is decided where it is applied.
                 let known = self.state.read().check(&proposal);
-                if let Some(outcome @ Outcome::Repeated { .. }) = known {
+                if let Some(outcome @ Outcome::Duplicate { .. }) = known {
                     return self.respond(waiter, PeerResponse::Submitted(outcome));
                 }
                 // What too few hold might go with the loss of one.
@@ -135,12 +135,12 @@
                 .view
                 .tenants
                 .get(tenant)
-                .map(|terms| (terms.pace, terms.burst))
+                .map(|terms| (terms.rate_per_s, terms.burst))
         };
         let routers = self
             .routers
             .load(Ordering::Relaxed)
-            .max(state.view.fleet as usize);
+            .max(state.view.router_count as usize);
         let answer = |demand| match &mut self.grants {
             QuotaGrants::Paces(paces) => paces.answer(now(), demand, terms),
             QuotaGrants::Pools(pools) => pools.answer(now(), demand, routers, terms),
--- a/directory/src/engine_discovery.rs
+++ b/directory/src/engine_discovery.rs
@@ -40,15 +40,15 @@
             continue;
         }
         let known = view.engines.get(&engine.name);
-        if let Some(known) = known.filter(|known| known.cold_ms > 0 && engine.cold_ms > 0) {
-            engine.cold_ms = known.cold_ms;
+        if let Some(known) = known.filter(|known| known.warm_up_ms > 0 && engine.warm_up_ms > 0) {
+            engine.warm_up_ms = known.warm_up_ms;
         }
         if known != Some(&engine) {
             engines.push(engine);
         }
     }
     let is_news = !engines.is_empty() || !gone.is_empty();
-    is_news.then_some(Command::Listed { engines, gone })
+    is_news.then_some(Command::UpdateEngines { engines, gone })
 }
 
 /// How long fewer routers are there before it is written down.
@@ -69,7 +69,7 @@
         let base = control.base();
         let (seen, known) = (
             control.routers.lock().count() as u32,
-            control.with_state(|s| s.view.fleet),
+            control.with_state(|s| s.view.router_count),
         );
         if seen >= known {
             fewer_since = None;
@@ -80,8 +80,8 @@
             let id = format!("fleet-{:016x}", rand::random::<u64>());
             let proposal = Proposal {
                 id,
-                base,
-                command: Command::Fleet(seen),
+                base_epoch: base,
+                command: Command::SetRouterCount(seen),
             };
             control.submit_as_leader(proposal, term, SUBMIT).await;
         }
@@ -128,7 +128,11 @@
     // Based on what was known when it was asked for: what has changed meanwhile is
     // not undone by an older list.
     let id = format!("list-{:016x}", rand::random::<u64>());
-    let proposal = Proposal { id, base, command };
+    let proposal = Proposal {
+        id,
+        base_epoch: base,
+        command,
+    };
     let reply = control.submit_as_leader(proposal, term, SUBMIT).await;
     log::info!("the list of engines changed: {reply:?}");
     Ok(())
--- a/directory/src/maintenance_windows.rs
+++ b/directory/src/maintenance_windows.rs
@@ -33,7 +33,11 @@
             // Late where the windows were changed meanwhile, by operators or by
             // another leader: then it is a conflict.
             let id = format!("{:016x}", rand::random::<u64>());
-            let proposal = Proposal { id, base, command };
+            let proposal = Proposal {
+                id,
+                base_epoch: base,
+                command,
+            };
             let reply = control.submit_as_leader(proposal, term, PATIENCE).await;
             if !matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })) {
                 break;
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -4,7 +4,8 @@
 use crate::ControlPlane;
 use protocol::{PeerRequest, PeerResponse};
 use residency::{
-    Command, DrainTarget, Engine, EngineState, Name, Outcome, Place, Proposal, Window,
+    Command, DrainTarget, Engine, EngineState, MaintenanceWindow, Name, Outcome, Proposal,
+    TenantKey, UpdateMode,
 };
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
@@ -151,13 +152,13 @@
     let windows: Vec<OwnedValue> = state
         .windows()
         .map(|(window, has_begun)| {
-            let (zone, engine) = match &window.what {
+            let (zone, engine) = match &window.target {
                 DrainTarget::Zone(zone) => (Some(zone.0.clone()), None),
                 DrainTarget::Engine(engine) => (None, Some(engine.0.clone())),
             };
             json!({
                 "id": window.id.0.clone(), "zone": zone, "engine": engine,
-                "from": window.from, "until": window.until, "begun": has_begun,
+                "from": window.starts_at_s, "until": window.ends_at_s, "begun": has_begun,
             })
         })
         .collect();
@@ -193,7 +194,7 @@
         return refused(503, "no-majority", "no majority confirms what is newest");
     }
     let state = control.driver.state.read();
-    let document = residency::parse_text(&state.document()).unwrap_or_default();
+    let document = residency::parse_json(&state.document()).unwrap_or_default();
     web::json(200, &json!({ "epoch": state.epoch(), "book": document }))
 }
 
@@ -296,7 +297,7 @@
     }
 }
 
-fn read_windows(value: &OwnedValue) -> Result<Vec<Window>, String> {
+fn read_windows(value: &OwnedValue) -> Result<Vec<MaintenanceWindow>, String> {
     let list = value.get("windows").and_then(|v| v.as_array());
     let list = list.ok_or("windows: a list should stand here")?;
     let read = |(at, window): (usize, &OwnedValue)| {
@@ -307,7 +308,7 @@
                 "windows[{at}].{name}: seconds since 1970 should stand here"
             ))
         };
-        let what = match (text("zone"), text("engine")) {
+        let target = match (text("zone"), text("engine")) {
             (Some(zone), None) => DrainTarget::Zone(zone),
             (None, Some(engine)) => DrainTarget::Engine(engine),
             _ => {
@@ -317,11 +318,11 @@
             }
         };
         let id = text("id").ok_or(format!("windows[{at}].id: a text should stand here"))?;
-        Ok(Window {
+        Ok(MaintenanceWindow {
             id,
-            what,
-            from: time("from")?,
-            until: time("until")?,
+            target,
+            starts_at_s: time("from")?,
+            ends_at_s: time("until")?,
         })
     };
     list.iter().enumerate().map(read).collect()
@@ -367,18 +368,22 @@
         )),
     };
     let command = match text("do")?.as_str() {
-        "revise" => Command::Revise {
-            whole: value
+        "revise" => Command::UpdateTopology {
+            mode: match value
                 .get("whole")
                 .and_then(|v| v.as_bool())
-                .ok_or("whole: true or false should stand here")?,
+                .ok_or("whole: true or false should stand here")?
+            {
+                true => UpdateMode::Replace,
+                false => UpdateMode::Patch,
+            },
             text: value.get("book").ok_or("book: it is missing")?.encode(),
         },
-        "key" => Command::Key(Place {
-            name: digest()?,
-            within: text("tenant")?,
+        "key" => Command::AddKey(TenantKey {
+            digest: digest()?,
+            tenant: text("tenant")?,
         }),
-        "key-gone" => Command::KeyGone(Name(digest()?)),
+        "key-gone" => Command::RemoveKey(Name(digest()?)),
         "engine" => {
             let services = value
                 .get("services")
@@ -388,7 +393,7 @@
                         .map(|item| item.as_str().map(Name::from))
                         .collect::<Option<Vec<Name>>>()
                 });
-            Command::Engine(Engine {
+            Command::AddEngine(Engine {
                 name: text("name")?,
                 address: text("address")?,
                 cell: text("cell")?,
@@ -400,30 +405,30 @@
                     .and_then(|v| v.as_u32())
                     .ok_or("slots: a number should stand here")?,
                 state: state()?,
-                cold_ms: 0,
+                warm_up_ms: 0,
             })
         }
-        "engine-state" => Command::EngineState {
+        "engine-state" => Command::SetEngineState {
             name: name("name")?,
             state: state()?,
         },
-        "engine-gone" => Command::EngineGone(name("name")?),
-        "evacuate" => Command::Evacuate(name("zone")?),
-        "give-back" => Command::GiveBack(name("zone")?),
-        "move" => Command::Move {
+        "engine-gone" => Command::RemoveEngine(name("name")?),
+        "evacuate" => Command::EvacuateZone(name("zone")?),
+        "give-back" => Command::ReinstateZone(name("zone")?),
+        "move" => Command::MoveKey {
             tenant: name("tenant")?,
             service: name("service")?,
             cell: name("cell")?,
         },
-        "settle" => Command::Settle {
+        "settle" => Command::CompleteMove {
             tenant: name("tenant")?,
             service: name("service")?,
         },
-        "unpin" => Command::Unpin {
+        "unpin" => Command::UndoMove {
             tenant: name("tenant")?,
             service: name("service")?,
         },
-        "schedule" => Command::Schedule(read_windows(value)?),
+        "schedule" => Command::ScheduleMaintenance(read_windows(value)?),
         other => return Err(format!("do: {other} is nothing that can be done")),
     };
     let id = text("id")?;
@@ -434,7 +439,11 @@
         None => 0,
         Some(base) => base.as_u64().ok_or("base: an epoch should stand here")?,
     };
-    Ok(Proposal { id, base, command })
+    Ok(Proposal {
+        id,
+        base_epoch: base,
+        command,
+    })
 }
 
 async fn submit(control: &ControlPlane, request: Request) -> Response {
@@ -447,7 +456,7 @@
         Err(text) => return refused(400, "bad-proposal", text),
     };
     let id = proposal.id.clone();
-    let reply = match proposal.base {
+    let reply = match proposal.base_epoch {
         0 => {
             control
                 .execute(proposal.id, proposal.command, PATIENCE, PATIENCE)
@@ -462,7 +471,7 @@
         PeerResponse::Submitted(Outcome::Applied { epoch }) => {
             web::json(200, &json!({ "id": id, "epoch": epoch, "repeated": false }))
         }
-        PeerResponse::Submitted(Outcome::Repeated { epoch }) => {
+        PeerResponse::Submitted(Outcome::Duplicate { epoch }) => {
             web::json(200, &json!({ "id": id, "epoch": epoch, "repeated": true }))
         }
         PeerResponse::Submitted(Outcome::Conflict { epoch }) => refused(
@@ -470,7 +479,7 @@
             "conflict",
             format!("something of this kind changed at epoch {epoch}, past the base; nothing was changed"),
         ),
-        PeerResponse::Submitted(Outcome::Refused(text)) => refused(422, "refused", text),
+        PeerResponse::Submitted(Outcome::Rejected(text)) => refused(422, "refused", text),
         PeerResponse::Lost => refused(
             503,
             "unknown",
--- a/directory/src/operator_commands.rs
+++ b/directory/src/operator_commands.rs
@@ -38,7 +38,7 @@
             let base = self.base();
             let proposal = Proposal {
                 id: id.clone(),
-                base,
+                base_epoch: base,
                 command: command.clone(),
             };
             match self.driver.submit(proposal, until).await {
--- a/directory/tests/common/mod.rs
+++ b/directory/tests/common/mod.rs
@@ -210,8 +210,8 @@
             held,
             replies,
         };
-        let command = Command::Revise {
-            whole: true,
+        let command = Command::UpdateTopology {
+            mode: residency::UpdateMode::Replace,
             text: TOPOLOGY.into(),
         };
         nodes
@@ -245,7 +245,7 @@
         let reply = order.await;
         let is_taken = matches!(
             reply,
-            PeerResponse::Submitted(Outcome::Applied { .. } | Outcome::Repeated { .. })
+            PeerResponse::Submitted(Outcome::Applied { .. } | Outcome::Duplicate { .. })
         );
         assert!(is_taken, "{id}: {reply:?}");
     }
--- a/directory/tests/leader_clock.rs
+++ b/directory/tests/leader_clock.rs
@@ -8,10 +8,10 @@
 const TERM: u64 = 3;
 
 fn submit() -> PeerRequest {
-    let command = Command::Evacuate("n-a".into());
+    let command = Command::EvacuateZone("n-a".into());
     PeerRequest::Submit(Proposal {
         id: "one".into(),
-        base: 1,
+        base_epoch: 1,
         command,
     })
 }
--- a/directory/tests/operator_commands.rs
+++ b/directory/tests/operator_commands.rs
@@ -14,11 +14,11 @@
 const NEVER_MS: u64 = u64::MAX;
 
 fn evacuate() -> Command {
-    Command::Evacuate(Name::from("n-a"))
+    Command::EvacuateZone(Name::from("n-a"))
 }
 
 fn reinstate() -> Command {
-    Command::GiveBack(Name::from("n-a"))
+    Command::ReinstateZone(Name::from("n-a"))
 }
 
 /// Guards: an evacuation that a cut held back, and whose caller has gone, does not
@@ -150,7 +150,7 @@
         .execute("held".into(), evacuate(), PATIENCE, PATIENCE)
         .await;
     assert!(
-        matches!(again, PeerResponse::Submitted(Outcome::Repeated { .. })),
+        matches!(again, PeerResponse::Submitted(Outcome::Duplicate { .. })),
         "{again:?}"
     );
     assert!(!nodes.is_evacuated("n-a").await);
@@ -281,8 +281,8 @@
         vec![frame]
     }));
     let text = r#"{"zones":{"x-a":{"region":"x"}},"cells":{"x-1":{"zone":"x-a"}}}"#;
-    let revise = Command::Revise {
-        whole: false,
+    let revise = Command::UpdateTopology {
+        mode: residency::UpdateMode::Patch,
         text: text.into(),
     };
     nodes.must(&leader, "a zone more", revise).await;
@@ -324,10 +324,10 @@
         }
         frame => vec![frame],
     }));
-    let command = Command::Evacuate(Name::from("x-a"));
+    let command = Command::EvacuateZone(Name::from("x-a"));
     let proposal = Proposal {
         id: "at once".into(),
-        base,
+        base_epoch: base,
         command,
     };
     let mut cluster_status = next.leader_term();
@@ -356,8 +356,8 @@
     let term = leader.leader_term().expect("it leads");
     let proposal = |id: &str| Proposal {
         id: id.into(),
-        base: 0,
-        command: Command::Fleet(3),
+        base_epoch: 0,
+        command: Command::SetRouterCount(3),
     };
     for (control_plane, term) in [(&leader, term - 1), (&leader, term + 1), (&follower, term)] {
         let reply = control_plane
--- a/placement/src/engines.rs
+++ b/placement/src/engines.rs
@@ -291,27 +291,31 @@
 mod tests {
     use super::*;
     use crate::Warmth;
-    use residency::{EngineState, Event, Name, Place};
+    use residency::{Cell, EngineState, Event, Name, Zone};
 
     fn view(engines: usize) -> View {
-        let place = |name: &str, within: &str| Place {
+        let zone = |name: &str, region: &str| Zone {
             name: name.into(),
-            within: within.into(),
+            region: region.into(),
+        };
+        let cell = |name: &str, zone: &str| Cell {
+            name: name.into(),
+            zone: zone.into(),
         };
         let mut view = View::default();
-        view.take(&Event::Places {
-            zones: vec![place("north-a", "north")],
-            cells: vec![place("north-1", "north-a")],
+        view.apply(&Event::Topology {
+            zones: vec![zone("north-a", "north")],
+            cells: vec![cell("north-1", "north-a")],
         });
         for at in 0..engines {
-            view.take(&Event::Engine(Engine {
+            view.apply(&Event::EngineUpdated(Engine {
                 name: format!("engine-{at}"),
                 address: format!("127.0.0.1:{at}"),
                 cell: "north-1".into(),
                 services: vec![Name("writer".into())],
                 slots: 8,
                 state: EngineState::Serving,
-                cold_ms: 0,
+                warm_up_ms: 0,
             }));
         }
         view
--- a/placement/src/estimates.rs
+++ b/placement/src/estimates.rs
@@ -132,7 +132,7 @@
 }
 
 fn cold_until(now: u64, engine: &Engine) -> u64 {
-    match engine.cold_ms {
+    match engine.warm_up_ms {
         0 => 0,
         cold => now + u64::from(cold) + COLD_SLACK_MS,
     }
@@ -181,7 +181,7 @@
                 self.known.insert(name.clone(), Known::new(now, engine));
                 continue;
             };
-            if known.engine.cold_ms != engine.cold_ms {
+            if known.engine.warm_up_ms != engine.warm_up_ms {
                 known.cold_until = cold_until(now, engine);
             }
             known.engine = engine.clone();
@@ -195,7 +195,7 @@
                     .services
                     .first()
                     .and_then(|s| view.services.get(&s.0));
-                let warm_ms = traits.map_or(0, |traits| traits.warm_ms);
+                let warm_ms = traits.map_or(0, |traits| traits.warm_up_ms);
                 known.cold_until = known.cold_until.max(now + warm_ms);
             }
         }
@@ -288,7 +288,10 @@
         known.own += 1;
         let until = is_cold.then(|| {
             // A part of the fleet that sees no other is not the whole of it.
-            let sharers = peers.len().max(view.fleet as usize).clamp(1, COLD_SHARERS) as u64;
+            let sharers = peers
+                .len()
+                .max(view.router_count as usize)
+                .clamp(1, COLD_SHARERS) as u64;
             known.next_cold = now + 1_000 * sharers / cold_pace(view, mapping).max(1);
             now + COLD_PLACE_MS
         });
@@ -451,7 +454,7 @@
 fn cold_pace(view: &View, mapping: &Mapping) -> u64 {
     view.services
         .get(&mapping.service)
-        .map_or(0, |traits| traits.warm_pace)
+        .map_or(0, |traits| traits.warm_up_rate_per_s)
 }
 
 /// Whether a process is among those that share a cold engine's pace. All agree on
--- a/placement/src/following.rs
+++ b/placement/src/following.rs
@@ -56,7 +56,7 @@
             ));
         }
         let mut view = View::default();
-        events.iter().for_each(|event| view.take(event));
+        events.iter().for_each(|event| view.apply(event));
         view.epoch = epoch;
         self.view = Arc::new(view);
         Ok(if epoch > known {
@@ -72,7 +72,7 @@
             return Err(format!("a change builds on {prior}, {known} is in force"));
         }
         let mut view = (*self.view).clone();
-        events.iter().for_each(|event| view.take(event));
+        events.iter().for_each(|event| view.apply(event));
         view.epoch = epoch;
         self.view = Arc::new(view);
         Ok(Taken::Change)
@@ -128,7 +128,7 @@
                     node = (node + draw(3)).min(newest).max(node);
                 }
                 if draw(3) == 0 && said < node {
-                    let gone = [Event::GivenBack(Name("z".into()))];
+                    let gone = [Event::ZoneReinstated(Name("z".into()))];
                     // Sometimes a frame is lost, and the next one does not fit.
                     said += 1 + u64::from(draw(30) == 0);
                     if following.change(said - 1, said, &gone).is_err() {
--- a/placement/tests/estimates.rs
+++ b/placement/tests/estimates.rs
@@ -2,11 +2,11 @@
 
 use placement::{Chosen, Estimates, Wanted};
 use policy::{Part, Prompt};
-use residency::{Engine, EngineState, Event, Mapping, Name, Place, Traits, View};
+use residency::{Cell, Engine, EngineState, Event, Mapping, Name, ServiceLimits, View, Zone};
 
 const SERVICE: &str = "writer";
 
-fn engine(name: &str, cell: &str, cold_ms: u32) -> Engine {
+fn engine(name: &str, cell: &str, warm_up_ms: u32) -> Engine {
     Engine {
         name: name.into(),
         address: format!(
@@ -17,30 +17,34 @@
         services: vec![SERVICE.into()],
         slots: 8,
         state: EngineState::Serving,
-        cold_ms,
+        warm_up_ms,
     }
 }
 
 fn view(engines: &[Engine]) -> View {
-    let place = |name: &str, within: &str| Place {
+    let zone = |name: &str, region: &str| Zone {
         name: name.into(),
-        within: within.into(),
+        region: region.into(),
+    };
+    let cell = |name: &str, zone: &str| Cell {
+        name: name.into(),
+        zone: zone.into(),
     };
     let mut view = View::default();
-    view.take(&Event::Places {
-        zones: vec![place("north-a", "north"), place("south-a", "south")],
-        cells: vec![place("north-a", "north-a"), place("south-a", "south-a")],
+    view.apply(&Event::Topology {
+        zones: vec![zone("north-a", "north"), zone("south-a", "south")],
+        cells: vec![cell("north-a", "north-a"), cell("south-a", "south-a")],
     });
-    let traits = Traits {
+    let traits = ServiceLimits {
         service: SERVICE.into(),
-        connections: 0,
-        warm_pace: 17,
-        warm_ms: 3_000,
+        max_connections: 0,
+        warm_up_rate_per_s: 17,
+        warm_up_ms: 3_000,
     };
-    view.take(&Event::Services(vec![traits]));
+    view.apply(&Event::Services(vec![traits]));
     engines
         .iter()
-        .for_each(|engine| view.take(&Event::Engine(engine.clone())));
+        .for_each(|engine| view.apply(&Event::EngineUpdated(engine.clone())));
     view
 }
 
@@ -154,8 +158,8 @@
     assert!(estimates.suspects(3_001).is_empty());
     // A life that ended is another engine; nothing of it is carried over.
     let mut next = view.clone();
-    next.take(&Event::EngineGone(Name("a".into())));
-    next.take(&Event::Engine(engine("a2", "north-a", 0)));
+    next.apply(&Event::EngineRemoved(Name("a".into())));
+    next.apply(&Event::EngineUpdated(engine("a2", "north-a", 0)));
     assert_eq!(estimates.follow(1_010, &next), vec!["a".to_string()]);
     assert_eq!(
         chosen(&mut estimates, 1_011, &next, &job, &none).as_deref(),
@@ -211,9 +215,9 @@
     let mut seen = view(&[engine("a", "north-a", 0)]);
     let mut estimates = Estimates::default();
     estimates.follow(1_000, &seen);
-    seen.take(&Event::Evacuated("north-a".into()));
+    seen.apply(&Event::ZoneEvacuated("north-a".into()));
     estimates.follow(2_000, &seen);
-    seen.take(&Event::GivenBack("north-a".into()));
+    seen.apply(&Event::ZoneReinstated("north-a".into()));
     estimates.follow(9_000, &seen);
     let job = prompt(5, 1);
     let many = (0..100).filter(|_| {
--- a/protocol/tests/formats/frames.rs
+++ b/protocol/tests/formats/frames.rs
@@ -7,18 +7,19 @@
 use proptest::sample::Index;
 use protocol::*;
 use residency::{
-    Command, ConfigDocument, DrainTarget, Engine, EngineState, Event, InvalidationScope, Limits,
-    Mapping, Name, Outcome, Place, Proposal, TenantLimits, Traits, Window,
+    Cell, Command, ConfigDocument, DrainTarget, Engine, EngineState, Event, InvalidationScope,
+    MaintenanceWindow, Mapping, Name, Outcome, Proposal, RequestLimits, ServiceLimits, TenantKey,
+    TenantLimits, Zone,
 };
 
 fn name(text: &str) -> Name {
     Name(text.into())
 }
 
-fn place(name: &str, within: &str) -> Place {
-    Place {
-        name: name.into(),
-        within: within.into(),
+fn key(digest: &str, tenant: &str) -> TenantKey {
+    TenantKey {
+        digest: digest.into(),
+        tenant: tenant.into(),
     }
 }
 
@@ -49,7 +50,7 @@
         services: vec![name("writer"), name("pictures")],
         slots: 8,
         state: EngineState::Serving,
-        cold_ms: 12,
+        warm_up_ms: 12,
     }
 }
 
@@ -66,102 +67,108 @@
 }
 
 pub fn commands() -> Vec<Command> {
-    let key = || (name("ana"), name("writer"));
-    let window = Window {
+    let pair = || (name("ana"), name("writer"));
+    let window = MaintenanceWindow {
         id: name("w-1"),
-        what: DrainTarget::Zone(name("north-a")),
-        from: 5,
-        until: 9,
+        target: DrainTarget::Zone(name("north-a")),
+        starts_at_s: 5,
+        ends_at_s: 9,
     };
-    let other = Window {
+    let other = MaintenanceWindow {
         id: name("w-2"),
-        what: DrainTarget::Engine(name("i-1")),
+        target: DrainTarget::Engine(name("i-1")),
         ..window.clone()
     };
     let config_document = ConfigDocument {
         revision: 3,
-        based: 2,
+        base_revision: 2,
         text: "{}".into(),
     };
     vec![
-        Command::Revise {
-            whole: false,
+        Command::UpdateTopology {
+            mode: residency::UpdateMode::Patch,
             text: "{\"services\":{\"writer\":{}}}".into(),
         },
-        Command::Key(place(&"a".repeat(64), "ana")),
-        Command::KeyGone(name("digest")),
-        Command::Engine(engine()),
-        Command::EngineGone(name("i-1")),
-        Command::EngineState {
+        Command::AddKey(key(&"a".repeat(64), "ana")),
+        Command::RemoveKey(name("digest")),
+        Command::AddEngine(engine()),
+        Command::RemoveEngine(name("i-1")),
+        Command::SetEngineState {
             name: name("i-1"),
             state: EngineState::Draining,
         },
-        Command::Evacuate(name("north-a")),
-        Command::GiveBack(name("north-a")),
-        Command::Move {
-            tenant: key().0,
-            service: key().1,
+        Command::EvacuateZone(name("north-a")),
+        Command::ReinstateZone(name("north-a")),
+        Command::MoveKey {
+            tenant: pair().0,
+            service: pair().1,
             cell: name("north-1"),
         },
-        Command::Settle {
-            tenant: key().0,
-            service: key().1,
+        Command::CompleteMove {
+            tenant: pair().0,
+            service: pair().1,
         },
-        Command::Unpin {
-            tenant: key().0,
-            service: key().1,
+        Command::UndoMove {
+            tenant: pair().0,
+            service: pair().1,
         },
-        Command::Schedule(vec![window, other]),
-        Command::Begin(name("w-1")),
-        Command::End(name("w-1")),
-        Command::Adopt {
+        Command::ScheduleMaintenance(vec![window, other]),
+        Command::BeginMaintenance(name("w-1")),
+        Command::EndMaintenance(name("w-1")),
+        Command::AdoptDocument {
             config_document,
             text: "{}".into(),
         },
-        Command::Listed {
+        Command::UpdateEngines {
             engines: vec![engine(), engine()],
             gone: vec![name("i-0")],
         },
-        Command::Fleet(9),
+        Command::SetRouterCount(9),
     ]
 }
 
 pub fn events() -> Vec<Event> {
-    let terms = TenantLimits {
+    let limits = TenantLimits {
         tenant: "ana".into(),
-        pace: 5,
+        rate_per_s: 5,
         burst: 9,
         homes: vec![name("north")],
         urgency: 1,
     };
-    let traits = Traits {
+    let service = ServiceLimits {
         service: "writer".into(),
-        connections: 9,
-        warm_pace: 3,
-        warm_ms: 50,
+        max_connections: 9,
+        warm_up_rate_per_s: 3,
+        warm_up_ms: 50,
     };
     let rules = "door app at \"/app/\" tenant header \"x-tenant-key\" model header \"x-model\"\n\
                  route write on app POST \"/app/write\" to model once deadline 30s";
     vec![
         Event::Rules(name(rules)),
-        Event::Places {
-            zones: vec![place("z", "r")],
-            cells: vec![place("c", "z")],
+        Event::Topology {
+            zones: vec![Zone {
+                name: "z".into(),
+                region: "r".into(),
+            }],
+            cells: vec![Cell {
+                name: "c".into(),
+                zone: "z".into(),
+            }],
         },
-        Event::Key(place("digest", "ana")),
-        Event::KeyGone(name("digest")),
-        Event::Engine(engine()),
-        Event::EngineGone(name("i-1")),
-        Event::Evacuated(name("z")),
-        Event::GivenBack(name("z")),
-        Event::Touched(InvalidationScope::All),
-        Event::Touched(InvalidationScope::Tenant(name("ana"))),
-        Event::Touched(InvalidationScope::Key(name("ana/writer"))),
-        Event::Touched(InvalidationScope::Home(name("north"))),
-        Event::Tenants(vec![terms]),
-        Event::Services(vec![traits]),
-        Event::Limits(Limits::default()),
-        Event::Fleet(4),
+        Event::KeyAdded(key("digest", "ana")),
+        Event::KeyRemoved(name("digest")),
+        Event::EngineUpdated(engine()),
+        Event::EngineRemoved(name("i-1")),
+        Event::ZoneEvacuated(name("z")),
+        Event::ZoneReinstated(name("z")),
+        Event::Invalidated(InvalidationScope::All),
+        Event::Invalidated(InvalidationScope::Tenant(name("ana"))),
+        Event::Invalidated(InvalidationScope::Key(name("ana/writer"))),
+        Event::Invalidated(InvalidationScope::Home(name("north"))),
+        Event::Tenants(vec![limits]),
+        Event::Services(vec![service]),
+        Event::Limits(RequestLimits::default()),
+        Event::RouterCount(4),
     ]
 }
 
@@ -373,7 +380,7 @@
     let submit = |command| {
         PeerRequest::Submit(Proposal {
             id: "s-1".into(),
-            base: 4,
+            base_epoch: 4,
             command,
         })
     };
@@ -397,9 +404,9 @@
     }));
     let outcomes = [
         Outcome::Applied { epoch: 9 },
-        Outcome::Repeated { epoch: 9 },
+        Outcome::Duplicate { epoch: 9 },
         Outcome::Conflict { epoch: 9 },
-        Outcome::Refused("no".into()),
+        Outcome::Rejected("no".into()),
     ];
     let replies = outcomes.into_iter().map(PeerResponse::Submitted).chain([
         PeerResponse::Confirmed {
--- a/protocol/tests/formats/state.rs
+++ b/protocol/tests/formats/state.rs
@@ -6,9 +6,9 @@
 use consensus::pack::{packed, unpacked};
 use proptest::prelude::*;
 use proptest::sample::Index;
-use residency::{Book, Proposal, State, View};
+use residency::{Proposal, State, Topology, View};
 
-const BOOK: &str = r#"{
+const TOPOLOGY: &str = r#"{
     "zones": { "north-a": { "region": "north" }, "south-a": { "region": "south" } },
     "cells": { "north-1": { "zone": "north-a" }, "south-1": { "zone": "south-a" } },
     "services": { "writer": {}, "pictures": {} },
@@ -21,16 +21,16 @@
 
 fn state() -> State {
     let mut state = State::default();
-    let revise = residency::Command::Revise {
-        whole: true,
-        text: BOOK.into(),
+    let revise = residency::Command::UpdateTopology {
+        mode: residency::UpdateMode::Replace,
+        text: TOPOLOGY.into(),
     };
     for (command, epoch) in std::iter::once(revise).chain(commands()).zip(1..) {
         state.apply(
             epoch,
             &Proposal {
                 id: format!("s-{epoch}"),
-                base: 0,
+                base_epoch: 0,
                 command,
             },
         );
@@ -63,7 +63,7 @@
         match State::restore(&bytes) {
             Ok(mut state) => {
                 for (command, epoch) in commands().into_iter().zip(1_000..) {
-                    let proposal = Proposal { id: format!("t-{epoch}"), base: 0, command };
+                    let proposal = Proposal { id: format!("t-{epoch}"), base_epoch: 0, command };
                     state.apply(epoch, &proposal);
                 }
                 drop(state.resolve("ana", "writer", "north"));
@@ -78,7 +78,7 @@
     fn changed_submissions_are_read_or_refused(which in any::<Index>(), edits in edits()) {
         let all = commands();
         let command = all[which.index(all.len())].clone();
-        let proposal = Proposal { id: "s".into(), base: 0, command };
+        let proposal = Proposal { id: "s".into(), base_epoch: 0, command };
         let bytes = edited(&packed(&proposal), &edits);
         let (read, most) = peak(|| unpacked::<Proposal>(&bytes));
         prop_assert!(most <= allowance(bytes.len()), "{} bytes of memory", most);
@@ -98,7 +98,7 @@
         let bytes = edited(&packed(&all[which.index(all.len())]), &edits);
         if let Ok(event) = unpacked::<residency::Event>(&bytes) {
             let mut view = View::default();
-            view.take(&event);
+            view.apply(&event);
             view.snapshot();
         }
     }
@@ -106,9 +106,9 @@
     /// Books that are JSON of any shape are read, or refused in words.
     #[test]
     fn changed_books_are_read_or_refused(edits in edits()) {
-        let bytes = edited(BOOK.as_bytes(), &edits);
+        let bytes = edited(TOPOLOGY.as_bytes(), &edits);
         if let Ok(text) = std::str::from_utf8(&bytes) {
-            match residency::parse_text(text).map(|value| Book::read(&value)) {
+            match residency::parse_json(text).map(|value| Topology::from_json(&value)) {
                 Ok(Ok(_)) => {}
                 Ok(Err(complaints)) => assert!(complaints.iter().all(|text| !text.is_empty())),
                 Err(text) => assert!(!text.is_empty()),
@@ -124,14 +124,14 @@
         for depth in [10, 1_000, 100_000] {
             let text = open.repeat(depth);
             assert!(
-                residency::parse_text(&text).is_err(),
+                residency::parse_json(&text).is_err(),
                 "{open} {depth} times"
             );
         }
     }
     let whole = format!("{}{}", "[".repeat(200_000), "]".repeat(200_000));
     assert!(
-        residency::parse_text(&whole).is_err(),
+        residency::parse_json(&whole).is_err(),
         "closed as often as opened"
     );
 }
--- a/residency/src/command.rs
+++ b/residency/src/command.rs
@@ -1,65 +1,90 @@
 //! Changes of the state as they stand in the log, and what became of them.
 
-use crate::{Engine, EngineState, Name, Place};
+use crate::{Engine, EngineState, Name, TenantKey};
 use binrw::binrw;
 use consensus::pack::{read_list, read_text, write_list, write_text};
 
+/// How an update of the topology file joins the file in force.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpdateMode {
+    /// The update is merged member by member (RFC 7396).
+    Patch,
+    /// The update takes the place of the file in force.
+    Replace,
+}
+
+/// One byte in the log: 0 is a patch, anything else replaces.
+impl From<u8> for UpdateMode {
+    fn from(byte: u8) -> UpdateMode {
+        match byte {
+            0 => UpdateMode::Patch,
+            _ => UpdateMode::Replace,
+        }
+    }
+}
+
+impl From<UpdateMode> for u8 {
+    fn from(mode: UpdateMode) -> u8 {
+        u8::from(mode == UpdateMode::Replace)
+    }
+}
+
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// A revision of the home book, whole or partial, as JSON.
+    /// Changes the topology file; `text` is JSON.
     #[brw(magic = 0u8)]
-    Revise {
-        #[br(map = |n: u8| n != 0)]
-        #[bw(map = |b: &bool| u8::from(*b))]
-        whole: bool,
+    UpdateTopology {
+        #[br(map = |byte: u8| UpdateMode::from(byte))]
+        #[bw(map = |mode: &UpdateMode| u8::from(*mode))]
+        mode: UpdateMode,
         #[br(parse_with = read_text)]
         #[bw(write_with = write_text)]
         text: String,
     },
     #[brw(magic = 1u8)]
-    Key(Place),
+    AddKey(TenantKey),
     #[brw(magic = 2u8)]
-    KeyGone(Name),
+    RemoveKey(Name),
     #[brw(magic = 3u8)]
-    Engine(Engine),
+    AddEngine(Engine),
     #[brw(magic = 4u8)]
-    EngineGone(Name),
+    RemoveEngine(Name),
     #[brw(magic = 10u8)]
-    EngineState { name: Name, state: EngineState },
+    SetEngineState { name: Name, state: EngineState },
     #[brw(magic = 5u8)]
-    Evacuate(Name),
+    EvacuateZone(Name),
     #[brw(magic = 6u8)]
-    GiveBack(Name),
+    ReinstateZone(Name),
     /// A key's jobs go to another cell; never fresh until settled.
     #[brw(magic = 7u8)]
-    Move {
+    MoveKey {
         tenant: Name,
         service: Name,
         cell: Name,
     },
     #[brw(magic = 8u8)]
-    Settle { tenant: Name, service: Name },
+    CompleteMove { tenant: Name, service: Name },
     #[brw(magic = 9u8)]
-    Unpin { tenant: Name, service: Name },
+    UndoMove { tenant: Name, service: Name },
     /// The maintenance windows to come, in place of those that have not begun.
     #[brw(magic = 11u8)]
-    Schedule(
+    ScheduleMaintenance(
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        Vec<Window>,
+        Vec<MaintenanceWindow>,
     ),
     /// A window begins.
     #[brw(magic = 12u8)]
-    Begin(Name),
+    BeginMaintenance(Name),
     /// A window that has begun ends.
     #[brw(magic = 13u8)]
-    End(Name),
+    EndMaintenance(Name),
     /// A whole revision that was written as somebody's own document: what it
     /// reads as, and the document itself, kept beside the book.
     #[brw(magic = 14u8)]
-    Adopt {
+    AdoptDocument {
         config_document: ConfigDocument,
         #[br(parse_with = read_text)]
         #[bw(write_with = write_text)]
@@ -67,7 +92,7 @@
     },
     /// What the platform's list of engines says anew.
     #[brw(magic = 15u8)]
-    Listed {
+    UpdateEngines {
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         engines: Vec<Engine>,
@@ -77,7 +102,7 @@
     },
     /// How many routers there are, for those that begin when all were lost.
     #[brw(magic = 16u8)]
-    Fleet(u32),
+    SetRouterCount(u32),
 }
 
 /// A document that operators wrote in words of their own. Invariant: the book is
@@ -89,7 +114,7 @@
     /// The operators' own number; it only rises.
     pub revision: u64,
     /// The number that it was built on.
-    pub based: u64,
+    pub base_revision: u64,
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub text: String,
@@ -110,11 +135,11 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct Window {
+pub struct MaintenanceWindow {
     pub id: Name,
-    pub what: DrainTarget,
-    pub from: u64,
-    pub until: u64,
+    pub target: DrainTarget,
+    pub starts_at_s: u64,
+    pub ends_at_s: u64,
 }
 
 #[binrw]
@@ -128,7 +153,7 @@
     /// The epoch that the change was based on: it is a conflict if its subject
     /// was changed past it. 0 stands for any. Index 1 founds the cluster, so a
     /// change that is based on nothing has 1.
-    pub base: u64,
+    pub base_epoch: u64,
     pub command: Command,
 }
 
@@ -139,12 +164,12 @@
     #[brw(magic = 0u8)]
     Applied { epoch: u64 },
     #[brw(magic = 1u8)]
-    Repeated { epoch: u64 },
+    Duplicate { epoch: u64 },
     /// Its subject changed at this epoch, past the base.
     #[brw(magic = 2u8)]
     Conflict { epoch: u64 },
     #[brw(magic = 3u8)]
-    Refused(
+    Rejected(
         #[br(parse_with = read_text)]
         #[bw(write_with = write_text)]
         String,
--- a/residency/src/fence.rs
+++ b/residency/src/fence.rs
@@ -50,7 +50,7 @@
     /// The index that last changed what a command is about.
     pub(crate) fn subject_of(&self, command: &Command) -> u64 {
         match command {
-            Command::Evacuate(zone) | Command::GiveBack(zone) => self.zone(zone),
+            Command::EvacuateZone(zone) | Command::ReinstateZone(zone) => self.zone(zone),
             command => self.part(part_of(command)),
         }
     }
@@ -66,15 +66,19 @@
     /// already so counts as a change of it: what was sent before it is late.
     pub(crate) fn note(&mut self, command: &Command, events: &[Event], index: u64) {
         self.note_part(part_of(command), index);
-        if let Command::Evacuate(zone) | Command::GiveBack(zone) = command {
+        if let Command::EvacuateZone(zone) | Command::ReinstateZone(zone) = command {
             self.note_zone(zone, index);
         }
         // Revisions change keys, and maintenance windows zones and engines.
         for event in events {
             match event {
-                Event::Key(_) | Event::KeyGone(_) => self.note_part(Part::Keys, index),
-                Event::Engine(_) | Event::EngineGone(_) => self.note_part(Part::Engines, index),
-                Event::Evacuated(zone) | Event::GivenBack(zone) => self.note_zone(zone, index),
+                Event::KeyAdded(_) | Event::KeyRemoved(_) => self.note_part(Part::Keys, index),
+                Event::EngineUpdated(_) | Event::EngineRemoved(_) => {
+                    self.note_part(Part::Engines, index)
+                }
+                Event::ZoneEvacuated(zone) | Event::ZoneReinstated(zone) => {
+                    self.note_zone(zone, index)
+                }
                 _ => {}
             }
         }
@@ -98,15 +102,19 @@
 
 fn part_of(command: &Command) -> Part {
     match command {
-        Command::Revise { .. } | Command::Adopt { .. } => Part::Topology,
-        Command::Key(_) | Command::KeyGone(_) => Part::Keys,
-        Command::Engine(_)
-        | Command::EngineGone(_)
-        | Command::EngineState { .. }
-        | Command::Listed { .. } => Part::Engines,
-        Command::Evacuate(_) | Command::GiveBack(_) => Part::Zones,
-        Command::Move { .. } | Command::Settle { .. } | Command::Unpin { .. } => Part::Moves,
-        Command::Schedule(_) | Command::Begin(_) | Command::End(_) => Part::Windows,
-        Command::Fleet(_) => Part::Fleet,
+        Command::UpdateTopology { .. } | Command::AdoptDocument { .. } => Part::Topology,
+        Command::AddKey(_) | Command::RemoveKey(_) => Part::Keys,
+        Command::AddEngine(_)
+        | Command::RemoveEngine(_)
+        | Command::SetEngineState { .. }
+        | Command::UpdateEngines { .. } => Part::Engines,
+        Command::EvacuateZone(_) | Command::ReinstateZone(_) => Part::Zones,
+        Command::MoveKey { .. } | Command::CompleteMove { .. } | Command::UndoMove { .. } => {
+            Part::Moves
+        }
+        Command::ScheduleMaintenance(_)
+        | Command::BeginMaintenance(_)
+        | Command::EndMaintenance(_) => Part::Windows,
+        Command::SetRouterCount(_) => Part::Fleet,
     }
 }
--- a/residency/src/lib.rs
+++ b/residency/src/lib.rs
@@ -4,17 +4,20 @@
 //!
 //! No clock, no socket and no task lives here.
 
-mod book;
 mod command;
 mod fence;
 mod state;
+mod topology;
 mod view;
 
-pub use book::{merge, parse_text, Book, Service, Tenant};
-pub use command::{Command, ConfigDocument, DrainTarget, Outcome, Proposal, Window};
+pub use command::{
+    Command, ConfigDocument, DrainTarget, MaintenanceWindow, Outcome, Proposal, UpdateMode,
+};
 pub use state::{State, RECENT_PROPOSALS};
+pub use topology::{merge, parse_json, Service, Tenant, Topology};
 pub use view::{
-    Cell, Engine, EngineState, Event, InvalidationScope, Limits, Place, TenantLimits, Traits, View,
+    Cell, CellLocation, Engine, EngineState, Event, InvalidationScope, RequestLimits,
+    ServiceLimits, TenantKey, TenantLimits, View, Zone,
 };
 
 use binrw::binrw;
@@ -46,13 +49,13 @@
 }
 
 impl Mapping {
-    pub fn key(&self) -> String {
-        key(&self.tenant, &self.service)
+    pub fn routing_key(&self) -> String {
+        routing_key(&self.tenant, &self.service)
     }
 }
 
 /// The routing key: what the caches are asked by.
-pub fn key(tenant: &str, service: &str) -> String {
+pub fn routing_key(tenant: &str, service: &str) -> String {
     format!("{tenant}/{service}")
 }
 
--- a/residency/src/state.rs
+++ b/residency/src/state.rs
@@ -4,9 +4,11 @@
 mod resolve;
 mod snapshot;
 
-use crate::command::{Command, ConfigDocument, DrainTarget, Outcome, Proposal, Window};
+use crate::command::{
+    Command, ConfigDocument, DrainTarget, MaintenanceWindow, Outcome, Proposal, UpdateMode,
+};
 use crate::fence::{LastChanged, Part};
-use crate::{key, Book, Event, Name, View};
+use crate::{routing_key, Event, Name, Topology, View};
 use binrw::binrw;
 use consensus::pack::{packed, read_text, write_text};
 use simd_json::prelude::*;
@@ -23,7 +25,7 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 struct Planned {
-    window: Window,
+    window: MaintenanceWindow,
     #[br(map = |n: u8| n != 0)]
     #[bw(map = |b: &bool| u8::from(*b))]
     has_begun: bool,
@@ -43,7 +45,7 @@
     epoch: u64,
 }
 
-/// Invariant: a pin's cell is in the book.
+/// Invariant: a pin's cell is in the topology.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
@@ -60,7 +62,7 @@
 /// the same state on every node.
 pub struct State {
     document: OwnedValue,
-    pub book: Book,
+    pub topology: Topology,
     pub view: View,
     pins: BTreeMap<String, Pin>,
     recent_proposals: VecDeque<RecentProposal>,
@@ -73,7 +75,7 @@
     fn default() -> State {
         let document = OwnedValue::object();
         State {
-            book: Book::read(&document).expect("an empty book reads"),
+            topology: Topology::from_json(&document).expect("an empty book reads"),
             document,
             view: View::default(),
             pins: BTreeMap::new(),
@@ -90,7 +92,10 @@
 fn is_remembered(command: &Command) -> bool {
     !matches!(
         command,
-        Command::Listed { .. } | Command::Fleet(_) | Command::Begin(_) | Command::End(_)
+        Command::UpdateEngines { .. }
+            | Command::SetRouterCount(_)
+            | Command::BeginMaintenance(_)
+            | Command::EndMaintenance(_)
     )
 }
 
@@ -110,8 +115,8 @@
             .iter()
             .find(|known| known.id == proposal.id)?;
         Some(match known.sum == crc(&proposal.command) {
-            true => Outcome::Repeated { epoch: known.epoch },
-            false => Outcome::Refused(format!(
+            true => Outcome::Duplicate { epoch: known.epoch },
+            false => Outcome::Rejected(format!(
                 "proposal id {} was used for another change, at epoch {}",
                 proposal.id, known.epoch
             )),
@@ -121,11 +126,11 @@
     /// Whether a proposal was built on something else than what is in force.
     fn conflict(&self, proposal: &Proposal) -> Option<Outcome> {
         let changed = self.last_changed.subject_of(&proposal.command);
-        let is_old = proposal.base != 0 && proposal.base < changed;
+        let is_old = proposal.base_epoch != 0 && proposal.base_epoch < changed;
         let is_other = match &proposal.command {
-            Command::Adopt {
+            Command::AdoptDocument {
                 config_document, ..
-            } => config_document.based != self.config_document.revision,
+            } => config_document.base_revision != self.config_document.revision,
             _ => false,
         };
         (is_old || is_other).then_some(Outcome::Conflict { epoch: changed })
@@ -137,7 +142,7 @@
     }
 
     /// Whether a proposal of this id was taken.
-    pub fn has_taken(&self, id: &str) -> bool {
+    pub fn has_applied(&self, id: &str) -> bool {
         self.recent_proposals.iter().any(|known| known.id == id)
     }
 
@@ -149,7 +154,7 @@
         if let Some(conflict) = self.conflict(proposal) {
             return Some(conflict);
         }
-        self.plan(&proposal.command).err().map(Outcome::Refused)
+        self.plan(&proposal.command).err().map(Outcome::Rejected)
     }
 
     /// Applies a proposal that was agreed on as the log's entry `epoch`.
@@ -163,12 +168,12 @@
         }
         let events = match self.plan(&proposal.command) {
             Ok(events) => events,
-            Err(text) => return (Outcome::Refused(text), Vec::new()),
+            Err(text) => return (Outcome::Rejected(text), Vec::new()),
         };
         let pins = self.pins.len();
         self.commit(&proposal.command);
         for event in &events {
-            self.view.take(event);
+            self.view.apply(event);
         }
         self.view.epoch = epoch;
         self.last_changed.note(&proposal.command, &events, epoch);
@@ -208,12 +213,15 @@
     /// no more, so that each window begins and ends once, whoever leads.
     pub fn due(&self, now: u64) -> Vec<Command> {
         let due = |planned: &Planned| {
-            let Window {
-                id, from, until, ..
+            let MaintenanceWindow {
+                id,
+                starts_at_s,
+                ends_at_s,
+                ..
             } = &planned.window;
             match planned.has_begun {
-                true if now >= *until => Some(Command::End(id.clone())),
-                false if now >= *from => Some(Command::Begin(id.clone())),
+                true if now >= *ends_at_s => Some(Command::EndMaintenance(id.clone())),
+                false if now >= *starts_at_s => Some(Command::BeginMaintenance(id.clone())),
                 _ => None,
             }
         };
@@ -221,7 +229,7 @@
     }
 
     /// The windows to come and under way, and whether each has begun.
-    pub fn windows(&self) -> impl Iterator<Item = (&Window, bool)> {
+    pub fn windows(&self) -> impl Iterator<Item = (&MaintenanceWindow, bool)> {
         self.windows
             .iter()
             .map(|planned| (&planned.window, planned.has_begun))
@@ -230,44 +238,44 @@
     /// Makes what `plan` has allowed.
     fn commit(&mut self, command: &Command) {
         match command {
-            Command::Revise { .. } | Command::Adopt { .. } => {
-                let (whole, text) = match command {
-                    Command::Revise { whole, text } => (*whole, text),
-                    Command::Adopt { text, .. } => (true, text),
+            Command::UpdateTopology { .. } | Command::AdoptDocument { .. } => {
+                let (mode, text) = match command {
+                    Command::UpdateTopology { mode, text } => (*mode, text),
+                    Command::AdoptDocument { text, .. } => (UpdateMode::Replace, text),
                     _ => unreachable!("matched above"),
                 };
-                if let Command::Adopt {
+                if let Command::AdoptDocument {
                     config_document, ..
                 } = command
                 {
                     self.config_document = config_document.clone();
                 }
-                let (document, book) = self
-                    .revised(whole, text)
+                let (document, topology) = self
+                    .revised(mode, text)
                     .expect("a revision is planned before");
                 self.document = document;
-                self.book = book;
-                let book = &self.book;
+                self.topology = topology;
+                let topology = &self.topology;
                 self.pins.retain(|key, _| {
                     let pair = key.split_once('/').expect("a key has two parts");
-                    book.tenants.contains_key(pair.0) && book.services.contains_key(pair.1)
+                    topology.tenants.contains_key(pair.0) && topology.services.contains_key(pair.1)
                 });
             }
             // Ordered while a window has it shut: it stays shut when that ends.
-            Command::Evacuate(zone) => {
+            Command::EvacuateZone(zone) => {
                 let is_its =
                     |what: &DrainTarget| matches!(what, DrainTarget::Zone(name) if name == zone);
                 let under_way = self.windows.iter_mut().filter(|planned| planned.has_begun);
-                for planned in under_way.filter(|planned| is_its(&planned.window.what)) {
+                for planned in under_way.filter(|planned| is_its(&planned.window.target)) {
                     planned.was_shut = true;
                 }
             }
-            Command::Move {
+            Command::MoveKey {
                 tenant,
                 service,
                 cell,
             } => {
-                let key = key(&tenant.0, &service.0);
+                let key = routing_key(&tenant.0, &service.0);
                 let pin = Pin {
                     key: Name(key.clone()),
                     cell: cell.clone(),
@@ -275,12 +283,12 @@
                 };
                 self.pins.insert(key, pin);
             }
-            Command::Settle { tenant, service } => {
-                if let Some(pin) = self.pins.get_mut(&key(&tenant.0, &service.0)) {
+            Command::CompleteMove { tenant, service } => {
+                if let Some(pin) = self.pins.get_mut(&routing_key(&tenant.0, &service.0)) {
                     pin.is_moving = false;
                 }
             }
-            Command::Schedule(windows) => {
+            Command::ScheduleMaintenance(windows) => {
                 self.windows.retain(|planned| planned.has_begun);
                 for window in windows {
                     if !self
@@ -297,20 +305,20 @@
                     }
                 }
             }
-            Command::Begin(id) => {
+            Command::BeginMaintenance(id) => {
                 let place = self
                     .windows
                     .iter()
                     .position(|planned| planned.window.id == *id);
                 if let Some(place) = place {
-                    let was_shut = self.is_shut(&self.windows[place].window.what);
+                    let was_shut = self.is_shut(&self.windows[place].window.target);
                     self.windows[place].has_begun = true;
                     self.windows[place].was_shut = was_shut;
                 }
             }
-            Command::End(id) => self.windows.retain(|planned| planned.window.id != *id),
-            Command::Unpin { tenant, service } => {
-                self.pins.remove(&key(&tenant.0, &service.0));
+            Command::EndMaintenance(id) => self.windows.retain(|planned| planned.window.id != *id),
+            Command::UndoMove { tenant, service } => {
+                self.pins.remove(&routing_key(&tenant.0, &service.0));
             }
             _ => {}
         }
--- a/residency/src/state/plan.rs
+++ b/residency/src/state/plan.rs
@@ -1,10 +1,10 @@
 //! Checks a command against the state and says which events it makes.
 
 use super::State;
-use crate::command::{Command, DrainTarget};
+use crate::command::{Command, DrainTarget, UpdateMode};
 use crate::{
-    book, key, Book, Engine, EngineState, Event, InvalidationScope, Name, Place, TenantLimits,
-    Traits,
+    routing_key, topology, view, Engine, EngineState, Event, InvalidationScope, Name,
+    ServiceLimits, TenantKey, TenantLimits, Topology,
 };
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
@@ -13,17 +13,22 @@
 type Checked = Result<Vec<Event>, String>;
 
 impl State {
-    pub(super) fn revised(&self, whole: bool, text: &str) -> Result<(OwnedValue, Book), String> {
-        let part = book::parse_text(text)?;
-        let mut document = if whole {
+    pub(super) fn revised(
+        &self,
+        mode: UpdateMode,
+        text: &str,
+    ) -> Result<(OwnedValue, Topology), String> {
+        let part = topology::parse_json(text)?;
+        let mut document = if mode == UpdateMode::Replace {
             OwnedValue::object()
         } else {
             self.document.clone()
         };
-        book::merge(&mut document, &part);
-        let book = Book::read(&document).map_err(|complaints| complaints.join("\n"))?;
+        topology::merge(&mut document, &part);
+        let topology =
+            Topology::from_json(&document).map_err(|complaints| complaints.join("\n"))?;
         for engine in self.view.engines.values() {
-            if !book.cells.contains_key(&engine.cell) {
+            if !topology.cells.contains_key(&engine.cell) {
                 return Err(format!(
                     "cells: engine {} is listed in cell {}, which would be gone",
                     engine.name, engine.cell
@@ -31,7 +36,7 @@
             }
         }
         for pin in self.pins.values() {
-            if !book.cells.contains_key(&pin.cell.0) {
+            if !topology.cells.contains_key(&pin.cell.0) {
                 return Err(format!(
                     "cells: {} is moved to cell {}, which would be gone",
                     pin.key, pin.cell
@@ -39,26 +44,26 @@
             }
         }
         for zone in &self.view.evacuated {
-            if !book.zones.contains_key(zone) {
+            if !topology.zones.contains_key(zone) {
                 return Err(format!("zones: {zone} is evacuated; give it back first"));
             }
         }
-        Ok((document, book))
+        Ok((document, topology))
     }
 
     /// Checks a command and says which events it makes.
     pub(super) fn plan(&self, command: &Command) -> Checked {
         let known_pair = |tenant: &Name, service: &Name| {
-            if !self.book.tenants.contains_key(&tenant.0) {
+            if !self.topology.tenants.contains_key(&tenant.0) {
                 return Err(format!("there is no tenant {tenant}"));
             }
-            if !self.book.services.contains_key(&service.0) {
+            if !self.topology.services.contains_key(&service.0) {
                 return Err(format!("there is no service {service}"));
             }
-            Ok(key(&tenant.0, &service.0))
+            Ok(routing_key(&tenant.0, &service.0))
         };
         match command {
-            Command::Adopt {
+            Command::AdoptDocument {
                 config_document,
                 text,
             } => {
@@ -68,37 +73,37 @@
                         config_document.revision, self.config_document.revision
                     ));
                 }
-                self.revision_events(true, text)
+                self.revision_events(UpdateMode::Replace, text)
             }
-            Command::Revise { .. } if self.config_document.revision > 0 => Err(format!(
+            Command::UpdateTopology { .. } if self.config_document.revision > 0 => Err(format!(
                 "the book is what document {} reads as; send a revision of that",
                 self.config_document.revision
             )),
-            Command::Revise { whole, text } => self.revision_events(*whole, text),
-            Command::Listed { engines, gone } => Ok(self.listed_events(engines, gone)),
-            Command::Fleet(count) => Ok(vec![Event::Fleet(*count)]),
-            Command::Key(place) => {
-                let is_digest = place.name.len() == 64
-                    && place.name.bytes().all(|byte| byte.is_ascii_hexdigit());
+            Command::UpdateTopology { mode, text } => self.revision_events(*mode, text),
+            Command::UpdateEngines { engines, gone } => Ok(self.listed_events(engines, gone)),
+            Command::SetRouterCount(count) => Ok(vec![Event::RouterCount(*count)]),
+            Command::AddKey(key) => {
+                let is_digest = key.digest.len() == 64
+                    && key.digest.bytes().all(|byte| byte.is_ascii_hexdigit());
                 if !is_digest {
                     return Err("a key is kept as 64 hexadecimal digits".into());
                 }
-                if !self.book.tenants.contains_key(&place.within) {
-                    return Err(format!("there is no tenant {}", place.within));
+                if !self.topology.tenants.contains_key(&key.tenant) {
+                    return Err(format!("there is no tenant {}", key.tenant));
                 }
-                match self.view.keys.get(&place.name) {
-                    Some(tenant) if *tenant != place.within => {
+                match self.view.keys.get(&key.digest) {
+                    Some(tenant) if *tenant != key.tenant => {
                         Err(format!("this key belongs to tenant {tenant}"))
                     }
-                    _ => Ok(vec![Event::Key(place.clone())]),
+                    _ => Ok(vec![Event::KeyAdded(key.clone())]),
                 }
             }
-            Command::KeyGone(digest) => match self.view.keys.contains_key(&digest.0) {
-                true => Ok(vec![Event::KeyGone(digest.clone())]),
+            Command::RemoveKey(digest) => match self.view.keys.contains_key(&digest.0) {
+                true => Ok(vec![Event::KeyRemoved(digest.clone())]),
                 false => Err("there is no such key".into()),
             },
-            Command::Engine(engine) => {
-                if !self.book.cells.contains_key(&engine.cell) {
+            Command::AddEngine(engine) => {
+                if !self.topology.cells.contains_key(&engine.cell) {
                     return Err(format!("there is no cell {}", engine.cell));
                 }
                 if engine.address.parse::<std::net::SocketAddr>().is_err() {
@@ -107,7 +112,7 @@
                 let unknown = engine
                     .services
                     .iter()
-                    .find(|name| !self.book.services.contains_key(&name.0));
+                    .find(|name| !self.topology.services.contains_key(&name.0));
                 if let Some(name) = unknown {
                     return Err(format!("there is no service {name}"));
                 }
@@ -121,11 +126,11 @@
                 }
                 Ok(self.engine_events(&engine.name, Some(engine)))
             }
-            Command::EngineGone(name) => match self.view.engines.contains_key(&name.0) {
+            Command::RemoveEngine(name) => match self.view.engines.contains_key(&name.0) {
                 true => Ok(self.engine_events(&name.0, None)),
                 false => Err(format!("there is no engine {name}")),
             },
-            Command::EngineState { name, state } => match self.view.engines.get(&name.0) {
+            Command::SetEngineState { name, state } => match self.view.engines.get(&name.0) {
                 Some(engine) => {
                     let engine = Engine {
                         state: *state,
@@ -135,29 +140,29 @@
                 }
                 None => Err(format!("there is no engine {name}")),
             },
-            Command::Evacuate(zone) | Command::GiveBack(zone) => {
-                let Some(region) = self.book.zones.get(&zone.0) else {
+            Command::EvacuateZone(zone) | Command::ReinstateZone(zone) => {
+                let Some(region) = self.topology.zones.get(&zone.0) else {
                     return Err(format!("there is no zone {zone}"));
                 };
-                let is_shut = matches!(command, Command::Evacuate(_));
+                let is_shut = matches!(command, Command::EvacuateZone(_));
                 if self.view.evacuated.contains(&zone.0) == is_shut {
                     return Ok(Vec::new());
                 }
                 // Routers leave an evacuated zone's engines out by themselves;
                 // what changes is how long a key at home there stays fresh.
-                let touched = Event::Touched(InvalidationScope::Home(Name(region.clone())));
+                let touched = Event::Invalidated(InvalidationScope::Home(Name(region.clone())));
                 Ok(match is_shut {
-                    true => vec![Event::Evacuated(zone.clone()), touched],
-                    false => vec![Event::GivenBack(zone.clone()), touched],
+                    true => vec![Event::ZoneEvacuated(zone.clone()), touched],
+                    false => vec![Event::ZoneReinstated(zone.clone()), touched],
                 })
             }
-            Command::Move {
+            Command::MoveKey {
                 tenant,
                 service,
                 cell,
             } => {
                 let key = known_pair(tenant, service)?;
-                let Some(region) = self.book.region_of_cell(&cell.0) else {
+                let Some(region) = self.topology.region_of_cell(&cell.0) else {
                     return Err(format!("there is no cell {cell}"));
                 };
                 if !self
@@ -168,24 +173,24 @@
                         "cell {cell} in {region} is outside the homes of {key}"
                     ));
                 }
-                Ok(vec![Event::Touched(InvalidationScope::Key(Name(key)))])
+                Ok(vec![Event::Invalidated(InvalidationScope::Key(Name(key)))])
             }
-            Command::Schedule(windows) => {
+            Command::ScheduleMaintenance(windows) => {
                 if windows.len() > 1000 {
                     return Err("at most 1000 windows are kept".into());
                 }
                 for (at, window) in windows.iter().enumerate() {
-                    let is_known = match &window.what {
-                        DrainTarget::Zone(zone) => self.book.zones.contains_key(&zone.0),
+                    let is_known = match &window.target {
+                        DrainTarget::Zone(zone) => self.topology.zones.contains_key(&zone.0),
                         DrainTarget::Engine(name) => self.view.engines.contains_key(&name.0),
                     };
                     if !is_known {
                         return Err(format!(
                             "window {}: {:?} is not known",
-                            window.id, window.what
+                            window.id, window.target
                         ));
                     }
-                    if window.from >= window.until {
+                    if window.starts_at_s >= window.ends_at_s {
                         return Err(format!("window {}: it ends before it begins", window.id));
                     }
                     if windows[..at].iter().any(|other| other.id == window.id) {
@@ -194,8 +199,8 @@
                 }
                 Ok(Vec::new())
             }
-            Command::Begin(id) | Command::End(id) => {
-                let is_end = matches!(command, Command::End(_));
+            Command::BeginMaintenance(id) | Command::EndMaintenance(id) => {
+                let is_end = matches!(command, Command::EndMaintenance(_));
                 let planned = self.windows.iter().find(|planned| planned.window.id == *id);
                 match planned {
                     Some(planned) if planned.has_begun != is_end => {
@@ -204,15 +209,15 @@
                     None => Err(format!("there is no window {id}")),
                     // An engine that is gone meanwhile needs nothing.
                     Some(planned) if is_end && planned.was_shut => Ok(Vec::new()),
-                    Some(planned) => {
-                        Ok(self.turn(&planned.window.what, !is_end).unwrap_or_default())
-                    }
+                    Some(planned) => Ok(self
+                        .turn(&planned.window.target, !is_end)
+                        .unwrap_or_default()),
                 }
             }
-            Command::Settle { tenant, service } | Command::Unpin { tenant, service } => {
+            Command::CompleteMove { tenant, service } | Command::UndoMove { tenant, service } => {
                 let key = known_pair(tenant, service)?;
                 match self.pins.contains_key(&key) {
-                    true => Ok(vec![Event::Touched(InvalidationScope::Key(Name(key)))]),
+                    true => Ok(vec![Event::Invalidated(InvalidationScope::Key(Name(key)))]),
                     false => Err(format!("{key} is not moved")),
                 }
             }
@@ -240,7 +245,7 @@
             pairs
         };
         let is_new = |engine: &&Engine| {
-            self.book.cells.contains_key(&engine.cell)
+            self.topology.cells.contains_key(&engine.cell)
                 && self.view.engines.get(&engine.name) != Some(*engine)
         };
         let engines: Vec<&Engine> = engines.iter().filter(is_new).collect();
@@ -253,90 +258,92 @@
         let known = gone
             .iter()
             .filter(|name| self.view.engines.contains_key(&name.0));
-        let mut events: Vec<Event> = known.cloned().map(Event::EngineGone).collect();
-        events.extend(engines.into_iter().cloned().map(Event::Engine));
+        let mut events: Vec<Event> = known.cloned().map(Event::EngineRemoved).collect();
+        events.extend(engines.into_iter().cloned().map(Event::EngineUpdated));
         if after != before {
-            events.push(Event::Touched(InvalidationScope::All));
+            events.push(Event::Invalidated(InvalidationScope::All));
         }
         events
     }
 
     /// The events that a revision of the book makes: only of what it changes.
-    pub(super) fn revision_events(&self, whole: bool, text: &str) -> Checked {
-        let (_, book) = self.revised(whole, text)?;
-        let place = |(name, within): (&String, &String)| Place {
-            name: name.clone(),
-            within: within.clone(),
-        };
+    pub(super) fn revision_events(&self, mode: UpdateMode, text: &str) -> Checked {
+        let (_, topology) = self.revised(mode, text)?;
         let mut events = Vec::new();
-        if book.zones != self.view.zones || book.cells != self.view.cells {
-            events.push(Event::Places {
-                zones: book.zones.iter().map(place).collect(),
-                cells: book.cells.iter().map(place).collect(),
+        if topology.zones != self.view.zones || topology.cells != self.view.cells {
+            events.push(Event::Topology {
+                zones: view::zones(&topology.zones),
+                cells: view::cells(&topology.cells),
             });
         }
         for (digest, tenant) in &self.view.keys {
-            let is_dropped = self.book.keys.contains_key(digest) && !book.keys.contains_key(digest);
-            if is_dropped || !book.tenants.contains_key(tenant) {
-                events.push(Event::KeyGone(Name(digest.clone())));
+            let is_dropped =
+                self.topology.keys.contains_key(digest) && !topology.keys.contains_key(digest);
+            if is_dropped || !topology.tenants.contains_key(tenant) {
+                events.push(Event::KeyRemoved(Name(digest.clone())));
             }
         }
-        for (digest, tenant) in &book.keys {
+        for (digest, tenant) in &topology.keys {
             match self.view.keys.get(digest) {
                 Some(known) if known == tenant => {}
-                Some(known) if !self.book.keys.contains_key(digest) => {
+                Some(known) if !self.topology.keys.contains_key(digest) => {
                     return Err(format!("tenants.{tenant}: a key belongs to tenant {known}"));
                 }
-                _ => events.push(Event::Key(Place {
-                    name: digest.clone(),
-                    within: tenant.clone(),
+                _ => events.push(Event::KeyAdded(TenantKey {
+                    digest: digest.clone(),
+                    tenant: tenant.clone(),
                 })),
             }
         }
-        let terms = |(name, tenant): (&String, &book::Tenant)| TenantLimits {
+        let terms = |(name, tenant): (&String, &topology::Tenant)| TenantLimits {
             tenant: name.clone(),
-            pace: tenant.pace,
+            rate_per_s: tenant.rate_per_s,
             burst: tenant.burst,
             homes: tenant.homes.iter().cloned().map(Name).collect(),
             urgency: tenant.urgency.unwrap_or(u8::MAX),
         };
-        let terms: Vec<TenantLimits> = book.tenants.iter().map(terms).collect();
+        let terms: Vec<TenantLimits> = topology.tenants.iter().map(terms).collect();
         if !terms.iter().eq(self.view.tenants.values()) {
             events.push(Event::Tenants(terms));
         }
-        let traits = |(name, service): (&String, &book::Service)| Traits {
+        let traits = |(name, service): (&String, &topology::Service)| ServiceLimits {
             service: name.clone(),
-            connections: service.connections,
-            warm_pace: service.warm_pace,
-            warm_ms: service.warm_ms,
+            max_connections: service.max_connections,
+            warm_up_rate_per_s: service.warm_up_rate_per_s,
+            warm_up_ms: service.warm_up_ms,
         };
-        let traits: Vec<Traits> = book.services.iter().map(traits).collect();
+        let traits: Vec<ServiceLimits> = topology.services.iter().map(traits).collect();
         if !traits.iter().eq(self.view.services.values()) {
             events.push(Event::Services(traits));
         }
-        if book.limits != self.view.limits {
-            events.push(Event::Limits(book.limits));
+        if topology.limits != self.view.limits {
+            events.push(Event::Limits(topology.limits));
         }
         // The rules last: who sees a route finds what it speaks of.
-        if book.rules != self.view.rules {
-            events.push(Event::Rules(Name(book.rules.clone())));
+        if topology.rules != self.view.rules {
+            events.push(Event::Rules(Name(topology.rules.clone())));
         }
-        events.extend(self.book.touched_by(&book).into_iter().map(Event::Touched));
+        events.extend(
+            self.topology
+                .invalidated_by(&topology)
+                .into_iter()
+                .map(Event::Invalidated),
+        );
         Ok(events)
     }
 
     /// Shutting or opening what a window empties.
     pub(super) fn turn(&self, what: &DrainTarget, is_shut: bool) -> Checked {
         match (what, is_shut) {
-            (DrainTarget::Zone(zone), true) => self.plan(&Command::Evacuate(zone.clone())),
-            (DrainTarget::Zone(zone), false) => self.plan(&Command::GiveBack(zone.clone())),
+            (DrainTarget::Zone(zone), true) => self.plan(&Command::EvacuateZone(zone.clone())),
+            (DrainTarget::Zone(zone), false) => self.plan(&Command::ReinstateZone(zone.clone())),
             (DrainTarget::Engine(name), _) => {
                 let state = if is_shut {
                     EngineState::Draining
                 } else {
                     EngineState::Serving
                 };
-                self.plan(&Command::EngineState {
+                self.plan(&Command::SetEngineState {
                     name: name.clone(),
                     state,
                 })
--- a/residency/src/state/resolve.rs
+++ b/residency/src/state/resolve.rs
@@ -1,26 +1,26 @@
 //! Where the requests of a tenant key may go.
 
 use super::State;
-use crate::{key, Engine, EngineState, Mapping, Name};
+use crate::{routing_key, Engine, EngineState, Mapping, Name};
 use simd_json::prelude::*;
 
 impl State {
     /// The regions that a key's jobs may go to, nearest first.
     pub(super) fn permitted(&self, tenant: &str, service: &str, asker: &str) -> Vec<String> {
-        let homes = match self.book.tenants.get(tenant) {
+        let homes = match self.topology.tenants.get(tenant) {
             Some(tenant) => &tenant.homes[..],
             // Nobody in particular: a public route's.
             None if tenant.is_empty() => &[],
             None => return Vec::new(),
         };
-        let Some(service) = self.book.services.get(service) else {
+        let Some(service) = self.topology.services.get(service) else {
             return Vec::new();
         };
         let mut regions: Vec<String> = match homes.is_empty() {
             false => homes.to_vec(),
-            true => self.book.regions().into_iter().cloned().collect(),
+            true => self.topology.regions().into_iter().cloned().collect(),
         };
-        if homes.is_empty() || self.book.is_near_first {
+        if homes.is_empty() || self.topology.is_near_first {
             regions.sort_by_key(|region| region != asker);
         }
         regions.retain(|region| service.homes.is_empty() || service.homes.contains(region));
@@ -35,11 +35,11 @@
         service: &str,
         asker: &str,
     ) -> Result<Mapping, (&'static str, String)> {
-        let entry = self.book.tenants.get(tenant);
+        let entry = self.topology.tenants.get(tenant);
         if entry.is_none() && !tenant.is_empty() {
             return Err(("unknown-tenant", "no such tenant is known".into()));
         }
-        if !self.book.services.contains_key(service) {
+        if !self.topology.services.contains_key(service) {
             return Err(("unknown-service", format!("no service {service} is known")));
         }
         let allowed = entry.map_or(&[][..], |entry| &entry.services[..]);
@@ -50,7 +50,7 @@
             ));
         }
         let regions = self.permitted(tenant, service, asker);
-        let key = key(tenant, service);
+        let key = routing_key(tenant, service);
         let pin = self.pins.get(&key);
         let serves = |engine: &&Engine| {
             engine.state != EngineState::Draining
@@ -60,11 +60,11 @@
         // a mapping outlives an evacuation.
         let mut cells: Vec<(bool, bool, usize, u32, String)> = Vec::new();
         for engine in self.view.engines.values().filter(serves) {
-            let Some(zone) = self.book.cells.get(&engine.cell) else {
+            let Some(zone) = self.topology.cells.get(&engine.cell) else {
                 continue;
             };
             let rank = self
-                .book
+                .topology
                 .zones
                 .get(zone)
                 .and_then(|home| regions.iter().position(|region| region == home));
@@ -84,12 +84,12 @@
         }
         let is_moving = pin.is_some_and(|pin| pin.is_moving);
         let is_emptied = regions.iter().take(1).any(|home| {
-            self.book
+            self.topology
                 .zones
                 .iter()
                 .any(|(zone, region)| region == home && self.view.evacuated.contains(zone))
         });
-        let points = &self.book.points;
+        let points = &self.topology.set_points;
         Ok(Mapping {
             tenant: tenant.into(),
             service: service.into(),
--- a/residency/src/state/snapshot.rs
+++ b/residency/src/state/snapshot.rs
@@ -3,7 +3,7 @@
 use super::{Pin, Planned, RecentProposal, State};
 use crate::command::ConfigDocument;
 use crate::fence::LastChanged;
-use crate::{book, Book, Event, Name, View};
+use crate::{topology, Event, Name, Topology, View};
 use binrw::binrw;
 use consensus::pack::{packed, read_list, unpacked, write_list};
 use simd_json::prelude::*;
@@ -48,16 +48,17 @@
             return Ok(State::default());
         }
         let picture: StateSnapshot = unpacked(bytes)?;
-        let document = book::parse_text(&picture.document.0)?;
-        let book = Book::read(&document).map_err(|complaints| complaints.join("; "))?;
+        let document = topology::parse_json(&picture.document.0)?;
+        let topology =
+            Topology::from_json(&document).map_err(|complaints| complaints.join("; "))?;
         let mut view = View::default();
         for event in &picture.view {
-            view.take(event);
+            view.apply(event);
         }
         view.epoch = picture.epoch;
         Ok(State {
             document,
-            book,
+            topology,
             view,
             pins: picture
                 .pins
--- a/residency/src/book.rs
+++ b/residency/src/topology.rs
@@ -1,14 +1,14 @@
 //! The home book: where each tenant and service may live. Read from simd-json
 //! values and checked whole, with the place of everything that is wrong.
 
-use crate::{InvalidationScope, Limits, Name};
+use crate::{InvalidationScope, Name, RequestLimits};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::collections::BTreeMap;
 
 /// Invariants: every cell's zone is in `zones`; every home is the region of
 /// some zone; `rules` has been compiled.
-pub struct Book {
+pub struct Topology {
     /// Zone to region.
     pub zones: BTreeMap<String, String>,
     /// Cell to zone.
@@ -16,8 +16,8 @@
     pub services: BTreeMap<String, Service>,
     pub tenants: BTreeMap<String, Tenant>,
     pub rules: String,
-    pub points: policy::SetPoints,
-    pub limits: Limits,
+    pub set_points: policy::SetPoints,
+    pub limits: RequestLimits,
     /// A key's jobs go to the caller's own region first, not to its first home.
     pub is_near_first: bool,
     /// Digest to tenant, of the keys that the book itself lists.
@@ -30,11 +30,11 @@
     pub homes: Vec<String>,
     /// Connections that one engine takes from all callers together; 0 stands for
     /// no bound.
-    pub connections: u64,
+    pub max_connections: u64,
     /// Jobs a second that an engine bears while it is cold; 0 stands for no bound.
-    pub warm_pace: u64,
+    pub warm_up_rate_per_s: u64,
     /// How long an engine stays cold after it came.
-    pub warm_ms: u64,
+    pub warm_up_ms: u64,
 }
 
 #[derive(PartialEq)]
@@ -44,7 +44,7 @@
     /// Empty stands for any service.
     pub services: Vec<String>,
     /// Jobs a second; 0 stands for no quota.
-    pub pace: u64,
+    pub rate_per_s: u64,
     pub burst: u64,
     pub fresh_ms: Option<u64>,
     pub expire_ms: Option<u64>,
@@ -53,7 +53,7 @@
 }
 
 /// Parses JSON, with line and column of the first thing that is wrong.
-pub fn parse_text(text: &str) -> Result<OwnedValue, String> {
+pub fn parse_json(text: &str) -> Result<OwnedValue, String> {
     let mut bytes = text.as_bytes().to_vec();
     simd_json::to_owned_value(&mut bytes).map_err(|error| {
         let at = error.index().min(text.len());
@@ -213,7 +213,7 @@
     }
 }
 
-impl Book {
+impl Topology {
     pub fn region_of_cell(&self, cell: &str) -> Option<&String> {
         self.zones.get(self.cells.get(cell)?)
     }
@@ -226,11 +226,11 @@
     }
 
     /// Which mappings another book in place of this one makes void.
-    pub fn touched_by(&self, next: &Book) -> Vec<InvalidationScope> {
+    pub fn invalidated_by(&self, next: &Topology) -> Vec<InvalidationScope> {
         let is_same_ground = self.zones == next.zones
             && self.cells == next.cells
             && self.services == next.services
-            && self.points == next.points
+            && self.set_points == next.set_points
             && self.is_near_first == next.is_near_first;
         if !is_same_ground {
             return vec![InvalidationScope::All];
@@ -242,9 +242,9 @@
         self.tenants.iter().filter(has_changed).map(touch).collect()
     }
 
-    /// Reads and checks a whole book. Either all of it holds, or everything
+    /// Reads and checks a whole topology. Either all of it holds, or everything
     /// that is wrong is returned.
-    pub fn read(value: &OwnedValue) -> Result<Book, Vec<String>> {
+    pub fn from_json(value: &OwnedValue) -> Result<Topology, Vec<String>> {
         let mut complaints = Vec::new();
         let mut reader = Reader {
             complaints: &mut complaints,
@@ -253,8 +253,8 @@
             "zones", "cells", "services", "tenants", "rules", "limits", "near",
         ];
         reader.fields("", value, &known);
-        let mut book = Book {
-            limits: Limits::default(),
+        let mut topology = Topology {
+            limits: RequestLimits::default(),
             is_near_first: value
                 .get("near")
                 .and_then(|near| near.as_bool())
@@ -265,25 +265,25 @@
             services: BTreeMap::new(),
             tenants: BTreeMap::new(),
             rules: String::new(),
-            points: policy::SetPoints::default(),
+            set_points: policy::SetPoints::default(),
         };
         for (name, zone) in reader.things(value, "zones") {
             let place = format!("zones.{name}");
             reader.fields(&place, zone, &["region"]);
             let region = reader.text(&place, zone, "region");
             reader.name(&join(&place, "region"), &region);
-            book.zones.insert(name.clone(), region);
+            topology.zones.insert(name.clone(), region);
         }
         for (name, cell) in reader.things(value, "cells") {
             let place = format!("cells.{name}");
             reader.fields(&place, cell, &["zone"]);
             let zone = reader.text(&place, cell, "zone");
-            if !book.zones.contains_key(&zone) {
+            if !topology.zones.contains_key(&zone) {
                 reader.complain(&join(&place, "zone"), format!("there is no zone {zone}"));
             }
-            book.cells.insert(name.clone(), zone);
+            topology.cells.insert(name.clone(), zone);
         }
-        let regions: Vec<String> = book.regions().into_iter().cloned().collect();
+        let regions: Vec<String> = topology.regions().into_iter().cloned().collect();
         let homes = |reader: &mut Reader, place: &str, thing: &OwnedValue| {
             let homes = reader.texts(place, thing, "homes");
             for (at, home) in homes.iter().enumerate() {
@@ -308,11 +308,11 @@
             reader.fields(&place, service, &known);
             let service = Service {
                 homes: homes(&mut reader, &place, service),
-                connections: reader.count(&place, service, "connections"),
-                warm_pace: reader.count(&place, service, "warm_pace"),
-                warm_ms: reader.span(&place, service, "warm").unwrap_or(0),
+                max_connections: reader.count(&place, service, "connections"),
+                warm_up_rate_per_s: reader.count(&place, service, "warm_pace"),
+                warm_up_ms: reader.span(&place, service, "warm").unwrap_or(0),
             };
-            book.services.insert(name.clone(), service);
+            topology.services.insert(name.clone(), service);
         }
         for (name, tenant) in reader.things(value, "tenants") {
             let place = format!("tenants.{name}");
@@ -322,19 +322,19 @@
             reader.fields(&place, tenant, &known);
             let services = reader.texts(&place, tenant, "services");
             for (at, service) in services.iter().enumerate() {
-                if !book.services.contains_key(service) {
+                if !topology.services.contains_key(service) {
                     let place = format!("{place}.services[{at}]");
                     reader.complain(&place, format!("there is no service {service}"));
                 }
             }
             let keys = reader.digests(&place, tenant, "keys");
-            let pace = reader.count(&place, tenant, "pace");
+            let rate_per_s = reader.count(&place, tenant, "pace");
             let burst = reader.count(&place, tenant, "burst");
             let tenant = Tenant {
                 homes: homes(&mut reader, &place, tenant),
                 services,
-                pace,
-                burst: if burst == 0 { pace * 2 } else { burst },
+                rate_per_s,
+                burst: if burst == 0 { rate_per_s * 2 } else { burst },
                 fresh_ms: reader.span(&place, tenant, "fresh"),
                 expire_ms: reader.span(&place, tenant, "expire"),
                 urgency: tenant
@@ -342,7 +342,7 @@
                     .map(|_| reader.count(&place, tenant, "urgency").min(9) as u8),
             };
             for digest in keys {
-                if let Some(other) = book.keys.insert(digest, name.clone()) {
+                if let Some(other) = topology.keys.insert(digest, name.clone()) {
                     if other != *name {
                         reader.complain(&place, format!("a key belongs to tenant {other}, too"));
                     }
@@ -351,12 +351,12 @@
             if tenant.fresh_ms > tenant.expire_ms && tenant.expire_ms.is_some() {
                 reader.complain(&join(&place, "fresh"), "it is longer than `expire`");
             }
-            book.tenants.insert(name.clone(), tenant);
+            topology.tenants.insert(name.clone(), tenant);
         }
         if let Some(limits) = value.get("limits") {
             let known = ["head", "body", "head_wait", "idle"];
             reader.fields("limits", limits, &known);
-            let named = Limits::default();
+            let named = RequestLimits::default();
             let count = |reader: &mut Reader, name: &str, most: u64| {
                 limits.get(name).map(|found| match found.as_u64() {
                     Some(count) if (1..=most).contains(&count) => count,
@@ -367,29 +367,29 @@
                     }
                 })
             };
-            book.limits = Limits {
-                head: count(&mut reader, "head", 1 << 20).unwrap_or(named.head),
-                body: count(&mut reader, "body", 1 << 30).unwrap_or(named.body),
-                head_wait_ms: reader
+            topology.limits = RequestLimits {
+                max_head_bytes: count(&mut reader, "head", 1 << 20).unwrap_or(named.max_head_bytes),
+                max_body_bytes: count(&mut reader, "body", 1 << 30).unwrap_or(named.max_body_bytes),
+                head_timeout_ms: reader
                     .span("limits", limits, "head_wait")
-                    .unwrap_or(named.head_wait_ms),
-                idle_ms: reader
+                    .unwrap_or(named.head_timeout_ms),
+                idle_timeout_ms: reader
                     .span("limits", limits, "idle")
-                    .unwrap_or(named.idle_ms),
+                    .unwrap_or(named.idle_timeout_ms),
             };
         }
         if let Some(rules) = value.get("rules") {
-            book.rules = match rules.as_str() {
+            topology.rules = match rules.as_str() {
                 Some(text) => text.to_string(),
                 None => reader.texts("", value, "rules").join("\n"),
             };
         }
-        match policy::compile(&book.rules) {
+        match policy::compile(&topology.rules) {
             Ok(program) => {
-                book.points = program.points;
+                topology.set_points = program.points;
                 for route in &program.routes {
                     let mut services = route.target.services().into_iter();
-                    if services.any(|name| !book.services.contains_key(name)) {
+                    if services.any(|name| !topology.services.contains_key(name)) {
                         let text = format!("route {} names no known service", route.name);
                         reader.complain("rules", text);
                     }
@@ -406,7 +406,7 @@
             }
         }
         match complaints.is_empty() {
-            true => Ok(book),
+            true => Ok(topology),
             false => Err(complaints),
         }
     }
--- a/residency/src/view.rs
+++ b/residency/src/view.rs
@@ -45,30 +45,30 @@
     pub slots: u32,
     pub state: EngineState,
     /// How long it stays cold from when this was said; 0 stands for warm.
-    pub cold_ms: u32,
+    pub warm_up_ms: u32,
 }
 
 /// What a caller may send and how long it may take, at the doors.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
-    /// Bytes of a job's head.
-    pub head: u64,
-    /// Bytes of a job's body.
-    pub body: u64,
-    pub head_wait_ms: u64,
-    /// How long a connection may lie idle between two jobs.
-    pub idle_ms: u64,
+pub struct RequestLimits {
+    /// Bytes of a request's head.
+    pub max_head_bytes: u64,
+    /// Bytes of a request's body.
+    pub max_body_bytes: u64,
+    pub head_timeout_ms: u64,
+    /// How long a connection may lie idle between two requests.
+    pub idle_timeout_ms: u64,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
-            head: 64 << 10,
-            body: 1 << 30,
-            head_wait_ms: 10_000,
-            idle_ms: 60_000,
+impl Default for RequestLimits {
+    fn default() -> RequestLimits {
+        RequestLimits {
+            max_head_bytes: 64 << 10,
+            max_body_bytes: 1 << 30,
+            head_timeout_ms: 10_000,
+            idle_timeout_ms: 60_000,
         }
     }
 }
@@ -77,26 +77,53 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct Traits {
+pub struct ServiceLimits {
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub service: String,
-    pub connections: u64,
-    pub warm_pace: u64,
-    pub warm_ms: u64,
+    pub max_connections: u64,
+    pub warm_up_rate_per_s: u64,
+    pub warm_up_ms: u64,
 }
 
-/// A pair of names: zone and region, cell and zone, digest and tenant.
+/// A tenant key, of which only the digest is kept, and whose it is.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct TenantKey {
+    /// SHA-256 in 64 hexadecimal digits.
+    #[br(parse_with = read_text)]
+    #[bw(write_with = write_text)]
+    pub digest: String,
+    #[br(parse_with = read_text)]
+    #[bw(write_with = write_text)]
+    pub tenant: String,
+}
+
+/// A zone and the region that it lies in.
+#[binrw]
+#[brw(big)]
+#[derive(Clone, Debug, PartialEq)]
+pub struct Zone {
+    #[br(parse_with = read_text)]
+    #[bw(write_with = write_text)]
+    pub name: String,
+    #[br(parse_with = read_text)]
+    #[bw(write_with = write_text)]
+    pub region: String,
+}
+
+/// A cell and the zone that it lies in.
+#[binrw]
+#[brw(big)]
+#[derive(Clone, Debug, PartialEq)]
+pub struct Cell {
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
     pub name: String,
     #[br(parse_with = read_text)]
     #[bw(write_with = write_text)]
-    pub within: String,
+    pub zone: String,
 }
 
 /// Which cached mappings an event makes void.
@@ -120,7 +147,7 @@
         match self {
             InvalidationScope::All => true,
             InvalidationScope::Tenant(name) => mapping.tenant == name.0,
-            InvalidationScope::Key(name) => mapping.key() == name.0,
+            InvalidationScope::Key(name) => mapping.routing_key() == name.0,
             InvalidationScope::Home(region) => mapping.regions.first() == Some(region),
         }
     }
@@ -134,29 +161,29 @@
     Rules(crate::Name),
     /// Zones with their regions, cells with their zones, in place of what was.
     #[brw(magic = 1u8)]
-    Places {
+    Topology {
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        zones: Vec<Place>,
+        zones: Vec<Zone>,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        cells: Vec<Place>,
+        cells: Vec<Cell>,
     },
     /// The digest of a key and its tenant.
     #[brw(magic = 2u8)]
-    Key(Place),
+    KeyAdded(TenantKey),
     #[brw(magic = 3u8)]
-    KeyGone(crate::Name),
+    KeyRemoved(crate::Name),
     #[brw(magic = 4u8)]
-    Engine(Engine),
+    EngineUpdated(Engine),
     #[brw(magic = 5u8)]
-    EngineGone(crate::Name),
+    EngineRemoved(crate::Name),
     #[brw(magic = 6u8)]
-    Evacuated(crate::Name),
+    ZoneEvacuated(crate::Name),
     #[brw(magic = 7u8)]
-    GivenBack(crate::Name),
+    ZoneReinstated(crate::Name),
     #[brw(magic = 8u8)]
-    Touched(InvalidationScope),
+    Invalidated(InvalidationScope),
     /// The terms of all tenants, in place of what was.
     #[brw(magic = 9u8)]
     Tenants(
@@ -169,12 +196,12 @@
     Services(
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        Vec<Traits>,
+        Vec<ServiceLimits>,
     ),
     #[brw(magic = 11u8)]
-    Limits(Limits),
+    Limits(RequestLimits),
     #[brw(magic = 12u8)]
-    Fleet(u32),
+    RouterCount(u32),
 }
 
 #[binrw]
@@ -185,7 +212,7 @@
     #[bw(write_with = write_text)]
     pub tenant: String,
     /// Jobs a second; 0 stands for no quota.
-    pub pace: u64,
+    pub rate_per_s: u64,
     pub burst: u64,
     /// Empty stands for any region.
     #[br(parse_with = read_list)]
@@ -195,7 +222,7 @@
     pub urgency: u8,
 }
 
-pub struct Cell {
+pub struct CellLocation {
     pub zone: String,
     pub region: String,
 }
@@ -213,11 +240,11 @@
     pub engines: BTreeMap<String, Engine>,
     pub evacuated: BTreeSet<String>,
     pub tenants: BTreeMap<String, TenantLimits>,
-    pub services: BTreeMap<String, Traits>,
-    pub limits: Limits,
+    pub services: BTreeMap<String, ServiceLimits>,
+    pub limits: RequestLimits,
     /// How many routers there are, as the leader last wrote it down; 0 stands for
     /// not known.
-    pub fleet: u32,
+    pub router_count: u32,
 }
 
 impl Default for View {
@@ -233,31 +260,34 @@
             evacuated: BTreeSet::new(),
             tenants: BTreeMap::new(),
             services: BTreeMap::new(),
-            limits: Limits::default(),
-            fleet: 0,
+            limits: RequestLimits::default(),
+            router_count: 0,
         }
     }
 }
 
-fn places(map: &BTreeMap<String, String>) -> Vec<Place> {
-    let place = |(name, within): (&String, &String)| Place {
+/// Zones with their regions, as an event carries them.
+pub(crate) fn zones(zones: &BTreeMap<String, String>) -> Vec<Zone> {
+    let zone = |(name, region): (&String, &String)| Zone {
         name: name.clone(),
-        within: within.clone(),
+        region: region.clone(),
     };
-    map.iter().map(place).collect()
+    zones.iter().map(zone).collect()
 }
 
-fn map(places: &[Place]) -> BTreeMap<String, String> {
-    places
-        .iter()
-        .map(|place| (place.name.clone(), place.within.clone()))
-        .collect()
+/// Cells with their zones, as an event carries them.
+pub(crate) fn cells(cells: &BTreeMap<String, String>) -> Vec<Cell> {
+    let cell = |(name, zone): (&String, &String)| Cell {
+        name: name.clone(),
+        zone: zone.clone(),
+    };
+    cells.iter().map(cell).collect()
 }
 
 impl View {
-    pub fn cell(&self, name: &str) -> Option<Cell> {
+    pub fn cell(&self, name: &str) -> Option<CellLocation> {
         let zone = self.cells.get(name)?;
-        Some(Cell {
+        Some(CellLocation {
             zone: zone.clone(),
             region: self.zones.get(zone)?.clone(),
         })
@@ -275,7 +305,7 @@
 
     /// Takes one event. The events of an entry come together; the caller sets
     /// the epoch when all are in.
-    pub fn take(&mut self, event: &Event) {
+    pub fn apply(&mut self, event: &Event) {
         match event {
             Event::Rules(text) => {
                 // Rules are compiled before they are proposed and again when
@@ -285,29 +315,31 @@
                     self.rules = text.0.clone();
                 }
             }
-            Event::Places { zones, cells } => {
-                self.zones = map(zones);
-                self.cells = map(cells);
+            Event::Topology { zones, cells } => {
+                let zone = |zone: &Zone| (zone.name.clone(), zone.region.clone());
+                let cell = |cell: &Cell| (cell.name.clone(), cell.zone.clone());
+                self.zones = zones.iter().map(zone).collect();
+                self.cells = cells.iter().map(cell).collect();
             }
-            Event::Key(place) => {
-                self.keys.insert(place.name.clone(), place.within.clone());
+            Event::KeyAdded(key) => {
+                self.keys.insert(key.digest.clone(), key.tenant.clone());
             }
-            Event::KeyGone(digest) => {
+            Event::KeyRemoved(digest) => {
                 self.keys.remove(&digest.0);
             }
-            Event::Engine(engine) => {
+            Event::EngineUpdated(engine) => {
                 self.engines.insert(engine.name.clone(), engine.clone());
             }
-            Event::EngineGone(name) => {
+            Event::EngineRemoved(name) => {
                 self.engines.remove(&name.0);
             }
-            Event::Evacuated(zone) => {
+            Event::ZoneEvacuated(zone) => {
                 self.evacuated.insert(zone.0.clone());
             }
-            Event::GivenBack(zone) => {
+            Event::ZoneReinstated(zone) => {
                 self.evacuated.remove(&zone.0);
             }
-            Event::Touched(_) => {}
+            Event::Invalidated(_) => {}
             Event::Tenants(list) => {
                 self.tenants = list
                     .iter()
@@ -321,7 +353,7 @@
                     .collect();
             }
             Event::Limits(limits) => self.limits = *limits,
-            Event::Fleet(count) => self.fleet = *count,
+            Event::RouterCount(count) => self.router_count = *count,
         }
     }
 
@@ -330,21 +362,25 @@
         let name = |text: &String| crate::Name(text.clone());
         let mut events = vec![
             Event::Rules(name(&self.rules)),
-            Event::Places {
-                zones: places(&self.zones),
-                cells: places(&self.cells),
+            Event::Topology {
+                zones: zones(&self.zones),
+                cells: cells(&self.cells),
             },
             Event::Tenants(self.tenants.values().cloned().collect()),
             Event::Services(self.services.values().cloned().collect()),
             Event::Limits(self.limits),
-            Event::Fleet(self.fleet),
+            Event::RouterCount(self.router_count),
         ];
-        events.extend(places(&self.keys).into_iter().map(Event::Key));
-        events.extend(self.engines.values().cloned().map(Event::Engine));
+        let key = |(digest, tenant): (&String, &String)| TenantKey {
+            digest: digest.clone(),
+            tenant: tenant.clone(),
+        };
+        events.extend(self.keys.iter().map(key).map(Event::KeyAdded));
+        events.extend(self.engines.values().cloned().map(Event::EngineUpdated));
         events.extend(
             self.evacuated
                 .iter()
-                .map(|zone| Event::Evacuated(name(zone))),
+                .map(|zone| Event::ZoneEvacuated(name(zone))),
         );
         events
     }
--- a/residency/tests/fence.rs
+++ b/residency/tests/fence.rs
@@ -1,8 +1,8 @@
 //! Commands that come late, after what they were built on has changed.
 
 use residency::{
-    Command, ConfigDocument, DrainTarget, Engine, EngineState, Name, Outcome, Place, Proposal,
-    State, Window, RECENT_PROPOSALS,
+    Command, ConfigDocument, DrainTarget, Engine, EngineState, MaintenanceWindow, Name, Outcome,
+    Proposal, State, TenantKey, UpdateMode, RECENT_PROPOSALS,
 };
 
 const TOPOLOGY: &str = r#"{
@@ -27,7 +27,7 @@
         };
         log.must(revise(TOPOLOGY));
         for (name, cell, port) in [("e-n", "n-1", 1001), ("e-s", "s-1", 1002)] {
-            log.must(Command::Engine(engine(name, cell, port)));
+            log.must(Command::AddEngine(engine(name, cell, port)));
         }
         log
     }
@@ -39,7 +39,7 @@
                 self.index,
                 &Proposal {
                     id: id.into(),
-                    base,
+                    base_epoch: base,
                     command,
                 },
             )
@@ -91,14 +91,14 @@
 fn proposal(id: &str, base: u64, command: Command) -> Proposal {
     Proposal {
         id: id.into(),
-        base,
+        base_epoch: base,
         command,
     }
 }
 
 fn revise(text: &str) -> Command {
-    Command::Revise {
-        whole: false,
+    Command::UpdateTopology {
+        mode: UpdateMode::Patch,
         text: text.into(),
     }
 }
@@ -111,37 +111,37 @@
         services: vec!["writer".into()],
         slots: 4,
         state: EngineState::Serving,
-        cold_ms: 0,
+        warm_up_ms: 0,
     }
 }
 
 fn evacuate(zone: &str) -> Command {
-    Command::Evacuate(zone.into())
+    Command::EvacuateZone(zone.into())
 }
 
 fn reinstate(zone: &str) -> Command {
-    Command::GiveBack(zone.into())
+    Command::ReinstateZone(zone.into())
 }
 
-fn schedule(id: &str, from: u64, until: u64) -> Command {
-    let what = DrainTarget::Zone("n-a".into());
-    Command::Schedule(vec![Window {
+fn schedule(id: &str, starts_at_s: u64, ends_at_s: u64) -> Command {
+    let target = DrainTarget::Zone("n-a".into());
+    Command::ScheduleMaintenance(vec![MaintenanceWindow {
         id: id.into(),
-        what,
-        from,
-        until,
+        target,
+        starts_at_s,
+        ends_at_s,
     }])
 }
 
 fn key(digit: &str, tenant: &str) -> Command {
-    Command::Key(Place {
-        name: digit.repeat(64),
-        within: tenant.into(),
+    Command::AddKey(TenantKey {
+        digest: digit.repeat(64),
+        tenant: tenant.into(),
     })
 }
 
 fn move_to(cell: &str) -> Command {
-    Command::Move {
+    Command::MoveKey {
         tenant: "ana".into(),
         service: "writer".into(),
         cell: cell.into(),
@@ -162,7 +162,10 @@
     };
     let taken_back = vec![evacuate("n-a"), reinstate("n-a")];
     let elsewhere = vec![evacuate("s-a"), reinstate("s-a")];
-    let window = vec![Command::Begin("w".into()), Command::End("w".into())];
+    let window = vec![
+        Command::BeginMaintenance("w".into()),
+        Command::EndMaintenance("w".into()),
+    ];
     let cases = [
         case(
             "after it was taken back",
@@ -235,7 +238,7 @@
     for base in [base, log.index] {
         assert_eq!(
             log.submit("one", base, evacuate("n-a")),
-            Outcome::Repeated { epoch }
+            Outcome::Duplicate { epoch }
         );
     }
     assert!(log.state.view.evacuated.is_empty());
@@ -254,24 +257,24 @@
 #[test]
 fn other_late_commands_are_conflicts() {
     let (settle, unpin) = (
-        Command::Settle {
+        Command::CompleteMove {
             tenant: "ana".into(),
             service: "writer".into(),
         },
-        Command::Unpin {
+        Command::UndoMove {
             tenant: "ana".into(),
             service: "writer".into(),
         },
     );
-    let draining = Command::EngineState {
+    let draining = Command::SetEngineState {
         name: "e-n".into(),
         state: EngineState::Draining,
     };
-    let serving = Command::EngineState {
+    let serving = Command::SetEngineState {
         name: "e-n".into(),
         state: EngineState::Serving,
     };
-    let listed = |engines: Vec<Engine>, gone: &[&str]| Command::Listed {
+    let listed = |engines: Vec<Engine>, gone: &[&str]| Command::UpdateEngines {
         engines,
         gone: gone.iter().copied().map(Name::from).collect(),
     };
@@ -319,14 +322,14 @@
         (
             "a key that was dropped",
             vec![],
-            vec![key("a", "ana"), Command::KeyGone(digest.clone())],
+            vec![key("a", "ana"), Command::RemoveKey(digest.clone())],
             key("a", "ana"),
         ),
         (
             "dropping a key that was added anew",
             vec![key("a", "ana")],
             vec![key("a", "ana")],
-            Command::KeyGone(digest),
+            Command::RemoveKey(digest),
         ),
         (
             "a key that a revision dropped",
@@ -356,7 +359,7 @@
             "a window that was put off",
             vec![schedule("w", 10, 20)],
             vec![schedule("w", 1_000, 2_000)],
-            Command::Begin("w".into()),
+            Command::BeginMaintenance("w".into()),
         ),
         (
             "an older calendar",
@@ -367,8 +370,8 @@
         (
             "an older count of routers",
             vec![],
-            vec![Command::Fleet(7)],
-            Command::Fleet(3),
+            vec![Command::SetRouterCount(7)],
+            Command::SetRouterCount(3),
         ),
         (
             "an older revision",
@@ -414,11 +417,11 @@
     ] {
         let mut log = Log::new();
         log.must(schedule("w", 10, 20));
-        log.must(Command::Begin("w".into()));
+        log.must(Command::BeginMaintenance("w".into()));
         for order in &orders {
             log.must(order.clone());
         }
-        log.must(Command::End("w".into()));
+        log.must(Command::EndMaintenance("w".into()));
         assert_eq!(
             log.state.view.evacuated.contains("n-a"),
             is_shut,
@@ -430,10 +433,10 @@
 fn adopt(revision: u64, based: u64) -> Command {
     let config_document = ConfigDocument {
         revision,
-        based,
+        base_revision: based,
         text: format!("document {revision} on {based}"),
     };
-    Command::Adopt {
+    Command::AdoptDocument {
         config_document,
         text: TOPOLOGY.into(),
     }
@@ -459,16 +462,19 @@
         for round in 0..10 {
             let life = engine(&format!("e-{change}-{round}"), "n-1", 1001);
             let gone = log.state.view.engines.keys().cloned().map(Name).collect();
-            log.must(Command::Listed {
+            log.must(Command::UpdateEngines {
                 engines: vec![life],
                 gone,
             });
-            log.must(Command::Fleet(round));
+            log.must(Command::SetRouterCount(round));
         }
     }
     log.state = State::restore(&log.state.snapshot()).expect("it reads back");
     for change in 1..=CHANGES {
-        assert!(log.state.has_taken(&format!("change-{change}")), "{change}");
+        assert!(
+            log.state.has_applied(&format!("change-{change}")),
+            "{change}"
+        );
     }
     for _ in 0..RECENT_PROPOSALS {
         log.must(evacuate("n-a"));
@@ -476,10 +482,10 @@
     }
     log.state = State::restore(&log.state.snapshot()).expect("it reads back");
     let newest = format!("change-{CHANGES}");
-    assert!(log.state.has_taken(&newest), "it is the one in force");
+    assert!(log.state.has_applied(&newest), "it is the one in force");
     let outcome = log.submit(&newest, 0, adopt(CHANGES, CHANGES - 1));
-    assert!(matches!(outcome, Outcome::Repeated { .. }), "{outcome:?}");
-    assert!(!log.state.has_taken("change-1"), "memory is bounded");
+    assert!(matches!(outcome, Outcome::Duplicate { .. }), "{outcome:?}");
+    assert!(!log.state.has_applied("change-1"), "memory is bounded");
     // What is forgotten can't be taken a second time.
     let outcome = log.submit("change-1", 0, adopt(1, 0));
     assert!(matches!(outcome, Outcome::Conflict { .. }), "{outcome:?}");
--- a/residency/tests/snapshot_size.rs
+++ b/residency/tests/snapshot_size.rs
@@ -26,24 +26,24 @@
 }
 
 fn engine(number: u64) -> Command {
-    Command::Engine(Engine {
+    Command::AddEngine(Engine {
         name: format!("engine-{number}").as_str().into(),
         address: format!("127.0.0.1:{}", 1_000 + number),
         cell: "n-1".into(),
         services: vec!["writer".into()],
         slots: 4,
         state: EngineState::Serving,
-        cold_ms: 0,
+        warm_up_ms: 0,
     })
 }
 
 fn adopt(revision: u64) -> Command {
     let config_document = ConfigDocument {
         revision,
-        based: revision - 1,
+        base_revision: revision - 1,
         text: "d".repeat(DOCUMENT_BYTES),
     };
-    Command::Adopt {
+    Command::AdoptDocument {
         config_document,
         text: topology(),
     }
@@ -67,7 +67,7 @@
             index,
             &Proposal {
                 id: id(index),
-                base: 0,
+                base_epoch: 0,
                 command,
             },
         );
@@ -101,9 +101,9 @@
         "the document is the same"
     );
     let oldest_kept = index - residency::RECENT_PROPOSALS as u64 + 1;
-    assert!(restored.has_taken(&id(index)) && restored.has_taken(&id(oldest_kept)));
+    assert!(restored.has_applied(&id(index)) && restored.has_applied(&id(oldest_kept)));
     assert!(
-        !restored.has_taken(&id(oldest_kept - 1)),
+        !restored.has_applied(&id(oldest_kept - 1)),
         "the ones before are forgotten"
     );
 }
--- a/residency/tests/state.rs
+++ b/residency/tests/state.rs
@@ -1,11 +1,11 @@
 //! Tables of what each command does to the state, and what it refuses.
 
 use residency::{
-    Command, DrainTarget, Engine, EngineState, Event, InvalidationScope, Name, Outcome, Place,
-    Proposal, State, Window,
+    Command, DrainTarget, Engine, EngineState, Event, InvalidationScope, MaintenanceWindow, Name,
+    Outcome, Proposal, State, TenantKey, UpdateMode,
 };
 
-const BOOK: &str = r#"{
+const TOPOLOGY: &str = r#"{
   "zones": { "n-a": { "region": "north" }, "s-a": { "region": "south" }, "w-a": { "region": "west" } },
   "cells": { "n-1": { "zone": "n-a" }, "n-2": { "zone": "n-a" }, "s-1": { "zone": "s-a" }, "w-1": { "zone": "w-a" } },
   "services": { "writer": {}, "tight": { "homes": ["west"] } },
@@ -13,23 +13,23 @@
   "rules": "door app at \"/app/\" tenant header \"k\" model header \"m\"\nroute w on app POST \"/app/w\" to model once"
 }"#;
 
-fn revise(whole: bool, text: &str) -> Command {
-    Command::Revise {
-        whole,
+fn update(mode: UpdateMode, text: &str) -> Command {
+    Command::UpdateTopology {
+        mode,
         text: text.into(),
     }
 }
 
 fn engine(name: &str, cell: &str, state: EngineState) -> Command {
     let number: u32 = name.bytes().map(u32::from).sum();
-    Command::Engine(Engine {
+    Command::AddEngine(Engine {
         name: name.into(),
         address: format!("127.0.0.1:{}", 1000 + number),
         cell: cell.into(),
         services: vec!["writer".into()],
         slots: 4,
         state,
-        cold_ms: 0,
+        warm_up_ms: 0,
     })
 }
 
@@ -45,7 +45,7 @@
             state: State::default(),
             epoch: 0,
         };
-        bench.must(revise(true, BOOK));
+        bench.must(update(UpdateMode::Replace, TOPOLOGY));
         for (name, cell) in [
             ("e-n1", "n-1"),
             ("e-n2", "n-2"),
@@ -63,7 +63,7 @@
             self.epoch,
             &Proposal {
                 id: id.into(),
-                base,
+                base_epoch: base,
                 command,
             },
         )
@@ -85,7 +85,7 @@
         let sizes = (before.len(), self.state.snapshot().len());
         assert_eq!(sizes.0, sizes.1, "a refused change changes nothing");
         match outcome {
-            Outcome::Refused(text) => text,
+            Outcome::Rejected(text) => text,
             other => panic!("{other:?}"),
         }
     }
@@ -137,7 +137,7 @@
             state: State::default(),
             epoch: 0,
         };
-        let found = bench.refused(revise(true, text));
+        let found = bench.refused(update(UpdateMode::Replace, text));
         for wanted in wanted {
             assert!(found.contains(wanted), "{text}: {found:?} lacks {wanted:?}");
         }
@@ -146,13 +146,13 @@
 
 #[test]
 fn what_is_refused_and_why() {
-    let key = |name: &str, within: &str| {
-        Command::Key(Place {
-            name: name.into(),
-            within: within.into(),
+    let key = |digest: &str, tenant: &str| {
+        Command::AddKey(TenantKey {
+            digest: digest.into(),
+            tenant: tenant.into(),
         })
     };
-    let pair = |tenant: &str, cell: &str| Command::Move {
+    let pair = |tenant: &str, cell: &str| Command::MoveKey {
         tenant: tenant.into(),
         service: "writer".into(),
         cell: cell.into(),
@@ -160,31 +160,31 @@
     let cases = [
         (key("short", "ana"), "64 hexadecimal digits"),
         (key(&"a".repeat(64), "nobody"), "no tenant nobody"),
-        (Command::KeyGone("b".into()), "no such key"),
+        (Command::RemoveKey("b".into()), "no such key"),
         (
             engine("x", "nowhere", EngineState::Serving),
             "no cell nowhere",
         ),
-        (Command::EngineGone("x".into()), "no engine x"),
+        (Command::RemoveEngine("x".into()), "no engine x"),
         (
-            Command::EngineState {
+            Command::SetEngineState {
                 name: "x".into(),
                 state: EngineState::Draining,
             },
             "no engine x",
         ),
-        (Command::Evacuate("mars".into()), "no zone mars"),
+        (Command::EvacuateZone("mars".into()), "no zone mars"),
         (pair("ana", "w-1"), "outside the homes"),
         (pair("ana", "mars"), "no cell mars"),
         (
-            Command::Settle {
+            Command::CompleteMove {
                 tenant: "ana".into(),
                 service: "writer".into(),
             },
             "is not moved",
         ),
         (
-            revise(false, r#"{"cells":{"n-1":null}}"#),
+            update(UpdateMode::Patch, r#"{"cells":{"n-1":null}}"#),
             "engine e-n1 is listed in cell n-1",
         ),
     ];
@@ -199,23 +199,23 @@
 #[test]
 fn repeats_and_collisions() {
     let mut bench = Bench::new();
-    let evacuate = || Command::Evacuate("n-a".into());
+    let evacuate = || Command::EvacuateZone("n-a".into());
     let (first, _) = bench.submit("one", 0, evacuate());
     let Outcome::Applied { epoch } = first else {
         panic!("{first:?}")
     };
     assert_eq!(
         bench.submit("one", 0, evacuate()).0,
-        Outcome::Repeated { epoch }
+        Outcome::Duplicate { epoch }
     );
-    let (other, _) = bench.submit("one", 0, Command::GiveBack("n-a".into()));
+    let (other, _) = bench.submit("one", 0, Command::ReinstateZone("n-a".into()));
     assert!(
-        matches!(other, Outcome::Refused(_)),
+        matches!(other, Outcome::Rejected(_)),
         "one id stands for one change"
     );
-    let (late, _) = bench.submit("two", epoch - 1, Command::GiveBack("n-a".into()));
+    let (late, _) = bench.submit("two", epoch - 1, Command::ReinstateZone("n-a".into()));
     assert_eq!(late, Outcome::Conflict { epoch });
-    let (based, _) = bench.submit("three", epoch, Command::GiveBack("n-a".into()));
+    let (based, _) = bench.submit("three", epoch, Command::ReinstateZone("n-a".into()));
     assert!(matches!(based, Outcome::Applied { .. }));
     // Another kind's change in between is no collision.
     let mark = bench.epoch;
@@ -246,7 +246,7 @@
         "no-place"
     );
 
-    bench.must(Command::Evacuate("s-a".into()));
+    bench.must(Command::EvacuateZone("s-a".into()));
     assert_eq!(
         bench
             .state
@@ -260,15 +260,15 @@
         3,
         "an evacuated spill cell keeps its place"
     );
-    bench.must(Command::GiveBack("s-a".into()));
-    bench.must(Command::Evacuate("n-a".into()));
+    bench.must(Command::ReinstateZone("s-a".into()));
+    bench.must(Command::EvacuateZone("n-a".into()));
     let mapping = bench
         .state
         .resolve("ana", "writer", "north")
         .expect("the south is left");
     assert_eq!(mapping.cells[0].0, "s-1");
     assert_eq!(mapping.fresh_ms, 0, "never fresh while its home is drained");
-    bench.must(Command::GiveBack("n-a".into()));
+    bench.must(Command::ReinstateZone("n-a".into()));
     assert_eq!(
         bench
             .state
@@ -291,7 +291,7 @@
             .fresh_ms
     };
     let first = bench.cells("ana", "north")[0].clone();
-    bench.must(Command::Move {
+    bench.must(Command::MoveKey {
         tenant: tenant.clone(),
         service: service.clone(),
         cell: "s-1".into(),
@@ -300,19 +300,21 @@
         (bench.cells("ana", "north")[0].as_str(), fresh(&bench)),
         ("s-1", 0)
     );
-    let events = bench.must(Command::Settle {
+    let events = bench.must(Command::CompleteMove {
         tenant: tenant.clone(),
         service: service.clone(),
     });
     assert_eq!(
         events,
-        [Event::Touched(InvalidationScope::Key("ana/writer".into()))]
+        [Event::Invalidated(InvalidationScope::Key(
+            "ana/writer".into()
+        ))]
     );
     assert_eq!(
         (bench.cells("ana", "north")[0].as_str(), fresh(&bench)),
         ("s-1", 10_000)
     );
-    bench.must(Command::Unpin { tenant, service });
+    bench.must(Command::UndoMove { tenant, service });
     assert_eq!(bench.cells("ana", "north")[0], first);
 }
 
@@ -320,23 +322,29 @@
 fn only_what_changed_is_touched() {
     let touches = |events: Vec<Event>| -> Vec<InvalidationScope> {
         let touch = |event| match event {
-            Event::Touched(touch) => Some(touch),
+            Event::Invalidated(touch) => Some(touch),
             _ => None,
         };
         events.into_iter().filter_map(touch).collect()
     };
     let cases: Vec<(Command, Vec<InvalidationScope>)> = vec![
         (
-            revise(false, r#"{"tenants":{"ben":{"homes":["south","north"]}}}"#),
+            update(
+                UpdateMode::Patch,
+                r#"{"tenants":{"ben":{"homes":["south","north"]}}}"#,
+            ),
             vec![InvalidationScope::Tenant("ben".into())],
         ),
-        (revise(false, r#"{"tenants":{"new":{}}}"#), vec![]),
         (
-            revise(false, r#"{"tenants":{"ben":null}}"#),
+            update(UpdateMode::Patch, r#"{"tenants":{"new":{}}}"#),
+            vec![],
+        ),
+        (
+            update(UpdateMode::Patch, r#"{"tenants":{"ben":null}}"#),
             vec![InvalidationScope::Tenant("ben".into())],
         ),
         (
-            revise(false, r#"{"cells":{"w-2":{"zone":"w-a"}}}"#),
+            update(UpdateMode::Patch, r#"{"cells":{"w-2":{"zone":"w-a"}}}"#),
             vec![InvalidationScope::All],
         ),
         (engine("e-n4", "n-1", EngineState::Serving), vec![]),
@@ -345,7 +353,7 @@
             vec![InvalidationScope::All],
         ),
         (
-            Command::Evacuate("w-a".into()),
+            Command::EvacuateZone("w-a".into()),
             vec![InvalidationScope::Home("west".into())],
         ),
     ];
@@ -359,12 +367,12 @@
 fn a_tenant_that_goes_takes_its_keys_along() {
     let mut bench = Bench::new();
     let digest = policy::fingerprint("a key of ben's");
-    bench.must(Command::Key(Place {
-        name: digest.clone(),
-        within: "ben".into(),
+    bench.must(Command::AddKey(TenantKey {
+        digest: digest.clone(),
+        tenant: "ben".into(),
     }));
     assert!(bench.state.view.keys.contains_key(&digest));
-    bench.must(revise(false, r#"{"tenants":{"ben":null}}"#));
+    bench.must(update(UpdateMode::Patch, r#"{"tenants":{"ben":null}}"#));
     assert!(bench.state.view.keys.is_empty());
 }
 
@@ -372,16 +380,17 @@
 /// was shut before it stays shut after it.
 #[test]
 fn windows_turn_once_each() {
-    let window = |id: &str, what: DrainTarget, from: u64, until: u64| Window {
-        id: id.into(),
-        what,
-        from,
-        until,
-    };
+    let window =
+        |id: &str, target: DrainTarget, starts_at_s: u64, ends_at_s: u64| MaintenanceWindow {
+            id: id.into(),
+            target,
+            starts_at_s,
+            ends_at_s,
+        };
     let zone = |name: &str| DrainTarget::Zone(name.into());
     let mut bench = Bench::new();
-    bench.must(Command::Evacuate("w-a".into()));
-    let schedule = Command::Schedule(vec![
+    bench.must(Command::EvacuateZone("w-a".into()));
+    let schedule = Command::ScheduleMaintenance(vec![
         window("south", zone("s-a"), 100, 200),
         window("west", zone("w-a"), 100, 200),
         window("engine", DrainTarget::Engine("e-n1".into()), 150, 160),
@@ -437,7 +446,7 @@
         ),
     ];
     for (windows, wanted) in odd {
-        let found = bench.refused(Command::Schedule(windows));
+        let found = bench.refused(Command::ScheduleMaintenance(windows));
         assert!(found.contains(wanted), "{found}");
     }
 }
@@ -446,8 +455,8 @@
 #[test]
 fn a_picture_goes_on_like_its_original() {
     let mut bench = Bench::new();
-    bench.must(Command::Evacuate("s-a".into()));
-    bench.must(Command::Move {
+    bench.must(Command::EvacuateZone("s-a".into()));
+    bench.must(Command::MoveKey {
         tenant: "any".into(),
         service: "writer".into(),
         cell: "w-1".into(),
@@ -457,10 +466,10 @@
     assert_eq!(copy.view.snapshot(), bench.state.view.snapshot());
     let again = Proposal {
         id: "id-0".into(),
-        base: 0,
-        command: revise(true, BOOK),
+        base_epoch: 0,
+        command: update(UpdateMode::Replace, TOPOLOGY),
     };
-    assert_eq!(copy.apply(99, &again).0, Outcome::Repeated { epoch: 1 });
+    assert_eq!(copy.apply(99, &again).0, Outcome::Duplicate { epoch: 1 });
     for tenant in ["ana", "ben", "any"] {
         let ask = |state: &State| state.resolve(tenant, "writer", "west").ok();
         assert_eq!(ask(&copy), ask(&bench.state));
@@ -477,19 +486,19 @@
     let mut state = State::default();
     let proposal = |id: &str, command: Command| Proposal {
         id: id.into(),
-        base: 0,
+        base_epoch: 0,
         command,
     };
-    let adopt = |revision: u64, based: u64| Command::Adopt {
+    let adopt = |revision: u64, based: u64| Command::AdoptDocument {
         config_document: ConfigDocument {
             revision,
-            based,
+            base_revision: based,
             text: format!("document {revision}"),
         },
         text: "{}".into(),
     };
-    let revise = Command::Revise {
-        whole: true,
+    let revise = Command::UpdateTopology {
+        mode: UpdateMode::Replace,
         text: "{}".into(),
     };
     let cases = [
@@ -514,5 +523,5 @@
     );
     let back = State::restore(&state.snapshot()).expect("its picture reads");
     assert_eq!(back.config_document(), state.config_document());
-    assert!(back.has_taken("f") && !back.has_taken("c"));
+    assert!(back.has_applied("f") && !back.has_applied("c"));
 }
--- a/router/src/cache_tiers.rs
+++ b/router/src/cache_tiers.rs
@@ -61,7 +61,7 @@
     /// Drops what the events of an entry make void.
     pub fn invalidate(&self, epoch: u64, events: &[Event]) {
         for event in events {
-            let Event::Touched(touch) = event else {
+            let Event::Invalidated(touch) = event else {
                 continue;
             };
             let mut invalidations = self.invalidations.lock();
@@ -79,7 +79,7 @@
 
     /// A whole new picture: which mappings it makes void is not known.
     pub fn invalidate_all(&self, epoch: u64) {
-        self.invalidate(epoch, &[Event::Touched(InvalidationScope::All)]);
+        self.invalidate(epoch, &[Event::Invalidated(InvalidationScope::All)]);
     }
 
     pub fn get_local(&self, key: &str) -> Hit<Mapping> {
@@ -115,7 +115,13 @@
         // the mapping there and drops it.
         if !self.is_void(mapping) {
             let (fresh_ms, expire_ms) = (mapping.fresh_ms, mapping.expire_ms);
-            layer.put(&mapping.key(), mapping.clone(), fresh_ms, expire_ms, now());
+            layer.put(
+                &mapping.routing_key(),
+                mapping.clone(),
+                fresh_ms,
+                expire_ms,
+                now(),
+            );
         }
     }
 
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -179,7 +179,7 @@
         match link::receive(&mut reader, protocol::CAP).await? {
             Some(Frame::Mapped(found)) => {
                 if let Some(permit) = permit {
-                    anyhow::ensure!(found.key() == permit.key(), "it mapped another key");
+                    anyhow::ensure!(found.routing_key() == permit.key(), "it mapped another key");
                     permit.publish(&found);
                 }
                 membership::keep(router, &found);
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -203,7 +203,7 @@
     let longest = router
         .settings
         .max_body_bytes
-        .min(usize::try_from(view.limits.body).unwrap_or(usize::MAX));
+        .min(usize::try_from(view.limits.max_body_bytes).unwrap_or(usize::MAX));
     if body.size_hint().lower() > longest as u64 {
         // Not a byte of it has to come for that.
         router.check_lease()?;
@@ -356,8 +356,8 @@
     let terms = view
         .tenants
         .get(&tenant)
-        .map_or((0, 0), |terms| (terms.pace, terms.burst));
-    let routers = match view.fleet as usize {
+        .map_or((0, 0), |terms| (terms.rate_per_s, terms.burst));
+    let routers = match view.router_count as usize {
         0 => 0,
         known => known.max(router.membership.read().count()),
     };
@@ -494,7 +494,7 @@
     mut carried: Carried,
     keyed: &Keyed,
 ) -> Result<Response, Refusal> {
-    let key = residency::key(&keyed.tenant, &keyed.service);
+    let key = residency::routing_key(&keyed.tenant, &keyed.service);
     for _ in 0..3 {
         let mapping = match known(router, &key, keyed).await {
             Some(mapping) => mapping,
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -162,7 +162,10 @@
             metrics: Arc::clone(&metrics),
             budget: Box::new(move |service| {
                 // A part of the fleet that sees no other is not the whole of it.
-                let known = sharers.read().count().max(fleet.borrow().fleet as usize);
+                let known = sharers
+                    .read()
+                    .count()
+                    .max(fleet.borrow().router_count as usize);
                 spend(now(), service, known)
             }),
             leave: Arc::new(move |mapping| match router.upgrade() {
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -195,7 +195,9 @@
     let seen = tokio::time::timeout(LOOK_PATIENCE, receiver).await;
     neighbour.looks.lock().remove(&number);
     match seen {
-        Ok(Ok(Some(mapping))) if mapping.key() == key && !router.cache_tiers.is_void(&mapping) => {
+        Ok(Ok(Some(mapping)))
+            if mapping.routing_key() == key && !router.cache_tiers.is_void(&mapping) =>
+        {
             match mapping.fresh_ms > 0 {
                 true => Hit::Fresh(mapping),
                 false => Hit::Stale(mapping),
@@ -212,7 +214,7 @@
 /// Writes a mapping to both layers.
 pub fn keep(router: &Arc<Router>, mapping: &Mapping) {
     router.cache_tiers.insert_local(mapping);
-    match owner(router, &mapping.key()) {
+    match owner(router, &mapping.routing_key()) {
         None => router.cache_tiers.insert_regional(mapping),
         Some(to) => drop(
             neighbour(router, to)
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -55,7 +55,7 @@
         let (waiter, receiver) = oneshot::channel();
         let out = self.out.lock().as_ref().map(|(_, out)| out.clone());
         let Some(out) = out else { return Answer::Later };
-        let key = residency::key(tenant, service);
+        let key = residency::routing_key(tenant, service);
         self.open
             .lock()
             .insert(number, PendingLookup { key, waiter });
@@ -87,7 +87,10 @@
             return Ok(());
         };
         if let Answer::Mapping(mapping) = &answer {
-            anyhow::ensure!(mapping.key() == question.key, "it answers for another key");
+            anyhow::ensure!(
+                mapping.routing_key() == question.key,
+                "it answers for another key"
+            );
         }
         // Whoever asked may have left meanwhile.
         drop(question.waiter.send(answer));
--- a/rushctl/src/main.rs
+++ b/rushctl/src/main.rs
@@ -216,7 +216,7 @@
             match web::ask(*desk, method, target, &headers, body.into(), patience).await {
                 Ok((status, bytes)) => {
                     let text = String::from_utf8_lossy(&bytes).into_owned();
-                    let value = residency::parse_text(&text).map_err(|error| {
+                    let value = residency::parse_json(&text).map_err(|error| {
                         anyhow!("{desk} answered {status} and no JSON: {error}")
                     })?;
                     if status == 200 {
@@ -242,7 +242,7 @@
 /// A book from a file, with its rules from another where there is one.
 fn book(path: &str, rules: Option<String>) -> anyhow::Result<OwnedValue> {
     let text = std::fs::read_to_string(path).with_context(|| path.to_string())?;
-    let mut book = residency::parse_text(&text).map_err(|error| anyhow!("{path}: {error}"))?;
+    let mut book = residency::parse_json(&text).map_err(|error| anyhow!("{path}: {error}"))?;
     if let Some(rules) = rules {
         let text = std::fs::read_to_string(&rules).with_context(|| rules.clone())?;
         if let Err(complaints) = policy::compile(&text) {
@@ -279,7 +279,7 @@
         "key-add" => json!({ "do": "key", "tenant": word(0), "key": input()? }),
         "key-drop" => json!({ "do": "key-gone", "key": input()? }),
         "submit" => {
-            let value = residency::parse_text(&input()?)
+            let value = residency::parse_json(&input()?)
                 .map_err(|text| anyhow!("standard input: {text}"))?;
             anyhow::ensure!(
                 value.as_object().is_some(),
@@ -394,7 +394,7 @@
         "book" => println!("{}", way.get("/book").await?.encode_pp()),
         "check" => {
             let book = book(&words[0], matches.opt_str("rules"))?;
-            if let Err(complaints) = residency::Book::read(&book) {
+            if let Err(complaints) = residency::Topology::from_json(&book) {
                 bail!("{}:\n{}", words[0], complaints.join("\n"));
             }
             println!("{}: nothing is wrong with it", words[0]);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -105,7 +105,7 @@
             Ok(text) => text,
             Err(error) => return self.complaints.push(format!("{path}: {error}")),
         };
-        let value = match residency::parse_text(&text) {
+        let value = match residency::parse_json(&text) {
             Ok(value) => value,
             Err(error) => return self.complaints.push(format!("{path}: {error}")),
         };
--- a/simulator/src/clients.rs
+++ b/simulator/src/clients.rs
@@ -55,16 +55,16 @@
         };
         let zone = Name(format!("zone-{}", token % 3));
         let command = match self.ids.is_empty() {
-            true => Command::Revise {
-                whole: true,
+            true => Command::UpdateTopology {
+                mode: residency::UpdateMode::Replace,
                 text: r#"{"zones":{"zone-0":{"region":"a"},"zone-1":{"region":"b"},"zone-2":{"region":"c"}}}"#.into(),
             },
-            false if token.is_multiple_of(2) => Command::Evacuate(zone),
-            false => Command::GiveBack(zone),
+            false if token.is_multiple_of(2) => Command::EvacuateZone(zone),
+            false => Command::ReinstateZone(zone),
         };
         let proposal = Proposal {
             id,
-            base: 0,
+            base_epoch: 0,
             command,
         };
         self.step(at, Input::Propose(token, packed(&proposal)))
--- a/simulator/src/orders.rs
+++ b/simulator/src/orders.rs
@@ -341,24 +341,24 @@
                 };
                 let config_document = ConfigDocument {
                     revision: *revision,
-                    based: *based,
+                    base_revision: *based,
                     text: format!("# {change}"),
                 };
-                let command = Command::Adopt {
+                let command = Command::AdoptDocument {
                     config_document,
                     text: TOPOLOGY.into(),
                 };
                 Proposal {
                     id: submission_id,
-                    base: 0,
+                    base_epoch: 0,
                     command,
                 }
             }
             Intent::SetZone { zone, is_evacuated } => {
                 let zone = Name(format!("zone-{zone}"));
                 let command = match is_evacuated {
-                    true => Command::Evacuate(zone),
-                    false => Command::GiveBack(zone),
+                    true => Command::EvacuateZone(zone),
+                    false => Command::ReinstateZone(zone),
                 };
                 let is_fenced = !self.has_fault(PlantedFault::UnfencedEvacuation);
                 let base = if is_fenced {
@@ -368,7 +368,7 @@
                 };
                 Proposal {
                     id: format!("order-{id}"),
-                    base,
+                    base_epoch: base,
                     command,
                 }
             }
@@ -382,7 +382,7 @@
         let is_change = matches!(self.operators.requests[&id].intent, Intent::Change { .. });
         let goes_on = is_change || self.has_fault(PlantedFault::ResubmittedAfterConflict);
         match outcome {
-            Outcome::Applied { .. } | Outcome::Repeated { .. } => self.answer(id, Response::Taken),
+            Outcome::Applied { .. } | Outcome::Duplicate { .. } => self.answer(id, Response::Taken),
             Outcome::Conflict { .. } if goes_on => {
                 // Looked at anew: it may have been taken from another node.
                 let until = self.now + CONTACT_MS;
@@ -396,8 +396,8 @@
                 return self.continue_request(id);
             }
             Outcome::Conflict { .. } => self.answer(id, Response::Later),
-            Outcome::Refused(_) if is_change => self.answer(id, Response::Later),
-            Outcome::Refused(text) => return self.fail(format!("an order was refused: {text}")),
+            Outcome::Rejected(_) if is_change => self.answer(id, Response::Later),
+            Outcome::Rejected(text) => return self.fail(format!("an order was refused: {text}")),
         }
         Ok(())
     }
@@ -424,7 +424,7 @@
 fn decide_change(state: &State, id: &str, based: u64, revision: u64) -> Option<Response> {
     let current = state.config_document().revision;
     match () {
-        () if state.has_taken(id) => Some(Response::Taken),
+        () if state.has_applied(id) => Some(Response::Taken),
         () if based != current => Some(Response::Conflict),
         () if revision <= current => Some(Response::NotAbove),
         () => None,
--- a/testbed/src/day.rs
+++ b/testbed/src/day.rs
@@ -11,7 +11,7 @@
 /// to `@tenant8` the tenants by name, and `@key1` to `@key8` their keys.
 pub fn scenarios(text: &str, shape: &str) -> anyhow::Result<Vec<(String, OwnedValue)>> {
     let missing = |name: &str| anyhow::anyhow!("{name}: it is missing or not what it should be");
-    let value = residency::parse_text(shape).map_err(|text| anyhow::anyhow!(text))?;
+    let value = residency::parse_json(shape).map_err(|text| anyhow::anyhow!(text))?;
     let object = |name: &str| {
         value
             .get(name)
@@ -36,7 +36,7 @@
         text = text.replace(&format!("@tenant{}", at + 1), tenant);
         text = text.replace(&format!("@key{}", at + 1), key);
     }
-    let list = residency::parse_text(&text).map_err(|text| anyhow::anyhow!(text))?;
+    let list = residency::parse_json(&text).map_err(|text| anyhow::anyhow!(text))?;
     let list = list.as_array().ok_or(missing("scenarios"))?;
     let name = |scenario: &OwnedValue| {
         scenario
@@ -112,7 +112,7 @@
 
 fn moment(line: &str) -> Result<Moment, String> {
     // Each line is read by itself; the place within it is its column.
-    let value = residency::parse_text(line).map_err(|text| text.replace("line 1, ", ""))?;
+    let value = residency::parse_json(line).map_err(|text| text.replace("line 1, ", ""))?;
     let object = value.as_object().ok_or("an object should stand here")?;
     let known = [
         "at", "zone", "tenant", "service", "method", "target", "headers", "body", "prompt", "once",
@@ -273,7 +273,7 @@
     scale: f64,
     seed: u64,
 ) -> anyhow::Result<Vec<Moment>> {
-    let value = residency::parse_text(shape).map_err(|text| anyhow::anyhow!(text))?;
+    let value = residency::parse_json(shape).map_err(|text| anyhow::anyhow!(text))?;
     let missing = |name: &str| anyhow::anyhow!("{name}: it is missing or not what it should be");
     let mut random = XorShift64::from_seed(seed);
     let mut tenants: Vec<String> = value
--- a/testbed/src/faults.rs
+++ b/testbed/src/faults.rs
@@ -36,7 +36,7 @@
 
 impl Ground {
     fn of(shape: &str) -> anyhow::Result<Ground> {
-        let value = residency::parse_text(shape).map_err(|text| anyhow::anyhow!(text))?;
+        let value = residency::parse_json(shape).map_err(|text| anyhow::anyhow!(text))?;
         let missing = |name: &str| anyhow::anyhow!("{name}: an object is missing");
         let object = |name: &str| {
             value
--- a/testbed/src/fleet/client.rs
+++ b/testbed/src/fleet/client.rs
@@ -22,7 +22,7 @@
     let patience = Duration::from_secs(12);
     let (status, bytes) = web::ask(desk, method, target, &[], text.into(), patience).await?;
     let text = String::from_utf8_lossy(&bytes).into_owned();
-    let value = residency::parse_text(&text).map_err(|text| anyhow!(text))?;
+    let value = residency::parse_json(&text).map_err(|text| anyhow!(text))?;
     // A process that is not well says so with 503 and its vitals all the same.
     anyhow::ensure!(status == 200, "{desk}{target} answered {status}: {text}");
     Ok(value)
--- a/testbed/src/fleet/shape.rs
+++ b/testbed/src/fleet/shape.rs
@@ -39,13 +39,13 @@
     }
 
     pub fn parse(text: &str) -> anyhow::Result<Shape> {
-        let value = residency::parse_text(text).map_err(|text| anyhow!(text))?;
+        let value = residency::parse_json(text).map_err(|text| anyhow!(text))?;
         let book = value
             .get("book")
             .ok_or(anyhow!("book: it is missing"))?
             .clone();
-        let read =
-            residency::Book::read(&book).map_err(|all| anyhow!("book:\n{}", all.join("\n")))?;
+        let read = residency::Topology::from_json(&book)
+            .map_err(|all| anyhow!("book:\n{}", all.join("\n")))?;
         let (routers, directories) = (counts(&value, "routers")?, counts(&value, "directories")?);
         for zone in routers.keys().chain(directories.keys()) {
             if !read.zones.contains_key(zone) {
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -178,10 +178,14 @@
 fn ask(hollow: &mut Hollow, spoken: usize) {
     let view = Arc::clone(hollow.following.view());
     let (all, spoken) = (view.tenants.len(), spoken.min(view.tenants.len()));
-    if view.fleet == 0 || spoken == 0 {
+    if view.router_count == 0 || spoken == 0 {
         return;
     }
-    let routers = hollow.company.fronts().count().max(view.fleet as usize);
+    let routers = hollow
+        .company
+        .fronts()
+        .count()
+        .max(view.router_count as usize);
     let jobs = if hollow.asked == 0 {
         spoken
     } else {
@@ -191,7 +195,7 @@
     for _ in 0..jobs {
         let at = (hollow.number * 37 + hollow.asked % spoken) % all;
         hollow.asked += 1;
-        let of = (terms[at].pace, terms[at].burst);
+        let of = (terms[at].rate_per_s, terms[at].burst);
         let admitted = hollow
             .quota
             .admit(&terms[at].tenant, of, routers, Duration::ZERO);
--- a/testbed/src/journal.rs
+++ b/testbed/src/journal.rs
@@ -50,7 +50,7 @@
     let text = String::from_utf8_lossy(&std::fs::read(path)?).into_owned();
     let mut lines = Vec::new();
     for (at, line) in text.split_inclusive('\n').enumerate() {
-        match residency::parse_text(line) {
+        match residency::parse_json(line) {
             Ok(value) => lines.push(value),
             Err(_) if !line.ends_with('\n') => {
                 eprintln!(
@@ -70,7 +70,7 @@
     let text = String::from_utf8_lossy(&std::fs::read(path)?).into_owned();
     let mut lines = Vec::new();
     for line in text.lines() {
-        let Ok(mut value) = residency::parse_text(line) else {
+        let Ok(mut value) = residency::parse_json(line) else {
             if line.contains("panicked at") {
                 lines.push(json!({ "name": name, "what": "panicked", "text": line }));
             }
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -301,7 +301,7 @@
     }
 
     async fn remembered(&self, body: &str, id: &str) -> Option<u64> {
-        let mut body = residency::parse_text(body).expect("it was submitted before");
+        let mut body = residency::parse_json(body).expect("it was submitted before");
         body.insert("id", id).expect("a proposal is an object");
         let until = std::time::Instant::now() + Duration::from_secs(15);
         while std::time::Instant::now() < until {
--- a/testbed/tests/cut_leader.rs
+++ b/testbed/tests/cut_leader.rs
@@ -33,7 +33,7 @@
     let text = String::from_utf8_lossy(&bytes).into_owned();
     Ok((
         status,
-        residency::parse_text(&text).map_err(anyhow::Error::msg)?,
+        residency::parse_json(&text).map_err(anyhow::Error::msg)?,
     ))
 }
 
--- a/testbed/tests/gate.rs
+++ b/testbed/tests/gate.rs
@@ -6,7 +6,7 @@
 use dispatch::{Carried, Dispatcher, Parts};
 use parking_lot::Mutex;
 use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
-use residency::{Engine, EngineState, Mapping, Name, Place, View};
+use residency::{Cell, Engine, EngineState, Mapping, Name, TenantKey, View, Zone};
 use simd_json::prelude::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -62,24 +62,31 @@
 }
 
 fn view(address: SocketAddr) -> View {
-    let place = |name: &str, within: &str| Place {
+    let zone = |name: &str, region: &str| Zone {
         name: name.into(),
-        within: within.into(),
+        region: region.into(),
+    };
+    let cell = |name: &str, zone: &str| Cell {
+        name: name.into(),
+        zone: zone.into(),
     };
     let mut view = View::default();
-    view.take(&residency::Event::Places {
-        zones: vec![place("north-a", "north")],
-        cells: vec![place("north-1", "north-a")],
+    view.apply(&residency::Event::Topology {
+        zones: vec![zone("north-a", "north")],
+        cells: vec![cell("north-1", "north-a")],
     });
-    view.take(&residency::Event::Key(place("digest", "ana")));
-    view.take(&residency::Event::Engine(Engine {
+    view.apply(&residency::Event::KeyAdded(TenantKey {
+        digest: "digest".into(),
+        tenant: "ana".into(),
+    }));
+    view.apply(&residency::Event::EngineUpdated(Engine {
         name: "engine-1".into(),
         address: address.to_string(),
         cell: "north-1".into(),
         services: vec![Name("writer".into())],
         slots: 8,
         state: EngineState::Serving,
-        cold_ms: 0,
+        warm_up_ms: 0,
     }));
     view
 }
@@ -114,13 +121,13 @@
         ("nothing", |_, _| {}),
         ("the key is gone", |views, _| {
             after(
-                |view| view.take(&residency::Event::KeyGone(Name("digest".into()))),
+                |view| view.apply(&residency::Event::KeyRemoved(Name("digest".into()))),
                 views,
             );
         }),
         ("the zone is evacuated", |views, _| {
             after(
-                |view| view.take(&residency::Event::Evacuated(Name("north-a".into()))),
+                |view| view.apply(&residency::Event::ZoneEvacuated(Name("north-a".into()))),
                 views,
             );
         }),
@@ -132,29 +139,33 @@
                 services: vec![Name("writer".into())],
                 slots: 8,
                 state: EngineState::Draining,
-                cold_ms: 0,
+                warm_up_ms: 0,
             };
             after(
-                |view| view.take(&residency::Event::Engine(engine.clone())),
+                |view| view.apply(&residency::Event::EngineUpdated(engine.clone())),
                 views,
             );
         }),
         ("the engine is gone", |views, _| {
             after(
-                |view| view.take(&residency::Event::EngineGone(Name("engine-1".into()))),
+                |view| view.apply(&residency::Event::EngineRemoved(Name("engine-1".into()))),
                 views,
             );
         }),
         ("its cell is in another region", |views, _| {
-            let place = |name: &str, within: &str| Place {
+            let zone = |name: &str, region: &str| Zone {
+                name: name.into(),
+                region: region.into(),
+            };
+            let cell = |name: &str, zone: &str| Cell {
                 name: name.into(),
-                within: within.into(),
+                zone: zone.into(),
             };
-            let places = residency::Event::Places {
-                zones: vec![place("north-a", "south")],
-                cells: vec![place("north-1", "north-a")],
+            let places = residency::Event::Topology {
+                zones: vec![zone("north-a", "south")],
+                cells: vec![cell("north-1", "north-a")],
             };
-            after(|view| view.take(&places), views);
+            after(|view| view.apply(&places), views);
         }),
     ];
     for (name, change) in cases {
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -7,7 +7,7 @@
 use protocol::{Answer, Frame, Kind, News};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use residency::{Command, Place, Proposal, State};
+use residency::{Command, Proposal, State, TenantKey, UpdateMode};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
 const KEY: &str = "ana-key-0001";
 const OWN: &[u8] = b"the one right answer";
 
-const BOOK: &str = r#"{
+const TOPOLOGY: &str = r#"{
     "zones": { "north-a": { "region": "north" } },
     "cells": { "north-1": { "zone": "north-a" } },
     "services": { "writer": {}, "painter": {} },
@@ -266,22 +266,22 @@
 
 fn state() -> State {
     let mut state = State::default();
-    let key = Place {
-        name: policy::fingerprint(KEY),
-        within: "ana".into(),
+    let key = TenantKey {
+        digest: policy::fingerprint(KEY),
+        tenant: "ana".into(),
     };
     let commands = [
-        Command::Revise {
-            whole: true,
-            text: BOOK.into(),
+        Command::UpdateTopology {
+            mode: UpdateMode::Replace,
+            text: TOPOLOGY.into(),
         },
-        Command::Key(key),
+        Command::AddKey(key),
     ]
     .into_iter();
     for (command, epoch) in commands.zip(1..) {
         let proposal = Proposal {
             id: format!("s-{epoch}"),
-            base: 0,
+            base_epoch: 0,
             command,
         };
         let (outcome, _) = state.apply(epoch, &proposal);
--- a/testbed/tests/year.rs
+++ b/testbed/tests/year.rs
@@ -20,7 +20,7 @@
         .map(|n| format!(r#""tenant-{n:03}":{{"homes":["north"],"pace":5}}"#))
         .collect();
     let book = format!(r#"{{"tenants":{{{}}}}}"#, tenants.join(","));
-    let book = residency::parse_text(&book).expect("it reads");
+    let book = residency::parse_json(&book).expect("it reads");
     fleet
         .submit(json!({ "do": "revise", "whole": false, "book": book }))
         .await
--- a/transport/src/doors.rs
+++ b/transport/src/doors.rs
@@ -8,7 +8,7 @@
 use hyper::body::{Frame, Incoming, SizeHint};
 use hyper_util::rt::TokioIo;
 use parking_lot::Mutex;
-use residency::Limits;
+use residency::RequestLimits;
 use std::collections::HashMap;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     /// Answers say that the connection closes after them.
     is_leaving: AtomicBool,
     shut: Notify,
-    limits: Box<dyn Fn() -> Limits + Send + Sync>,
+    limits: Box<dyn Fn() -> RequestLimits + Send + Sync>,
 }
 
 /// A stream that notes when the first byte of a head comes in.
@@ -149,7 +149,7 @@
 /// caller leaves, the handler's work is dropped where it stands.
 pub fn serve(
     listener: TcpListener,
-    limits: Box<dyn Fn() -> Limits + Send + Sync>,
+    limits: Box<dyn Fn() -> RequestLimits + Send + Sync>,
     handler: Handler,
     opened: impl Future<Output = ()> + Send + 'static,
 ) -> Arc<Doors> {
@@ -230,7 +230,7 @@
                 }
             })
         };
-        let head = usize::try_from((self.limits)().head)
+        let head = usize::try_from((self.limits)().max_head_bytes)
             .unwrap_or(usize::MAX)
             .max(8 << 10);
         let io = TokioIo::new(Watched {
@@ -266,8 +266,8 @@
             let (limits, at) = ((self.limits)(), now());
             for stage in self.stages.lock().values() {
                 let most = match stage.at.load(Ordering::Relaxed) {
-                    IDLE => limits.idle_ms,
-                    HEAD => limits.head_wait_ms,
+                    IDLE => limits.idle_timeout_ms,
+                    HEAD => limits.head_timeout_ms,
                     _ => continue,
                 };
                 if at > stage.since.load(Ordering::Relaxed) + most {
--- a/transport/src/web.rs
+++ b/transport/src/web.rs
@@ -166,7 +166,7 @@
         Err(_) => return Err("the body took too long".into()),
     };
     let text = String::from_utf8(bytes.to_vec()).map_err(|_| "the body is not UTF-8")?;
-    residency::parse_text(&text)
+    residency::parse_json(&text)
 }
 
 /// The most that an answer to [`ask`] may hold.
