--- a/checker/src/engines.rs
+++ b/checker/src/engines.rs
@@ -4,7 +4,7 @@
 use super::evidence::Evidence;
 use super::line::{flag, number, text};
 use super::{Findings, Ground, Rule, Span};
-use placement::Warmth;
+use placement::SlowStart;
 use simd_json::OwnedValue;
 use std::collections::BTreeMap;
 
@@ -99,7 +99,7 @@
                 }
                 _ => {}
             }
-            let limit = Warmth::after(*completed).limit(point);
+            let limit = SlowStart::after_responses(*completed).limit(point);
             if limit == point {
                 cold = None;
             } else if *running > limit && most.is_none_or(|(past, ..)| *running - limit > past) {
--- a/checker/src/retries.rs
+++ b/checker/src/retries.rs
@@ -3,7 +3,7 @@
 use super::evidence::Evidence;
 use super::line::{number, text};
 use super::{Findings, Rule};
-use placement::RETRY_LIFE_MS;
+use placement::RETRY_TOKEN_LIFETIME_MS;
 use std::collections::BTreeMap;
 
 /// Further rounds are judged over windows of this length.
@@ -58,7 +58,7 @@
     let between = |list: &[u64], from: u64, until: u64| {
         list.partition_point(|at| *at <= until) - list.partition_point(|at| *at < from)
     };
-    let life = RETRY_LIFE_MS * 1000;
+    let life = RETRY_TOKEN_LIFETIME_MS * 1000;
     let past = rounds.iter().map(|from| {
         let (until, earlier) = (from + WINDOW, from.saturating_sub(life));
         (
--- a/directory/src/subscriptions.rs
+++ b/directory/src/subscriptions.rs
@@ -3,7 +3,7 @@
 use crate::driver::DriverCommand;
 use crate::ControlPlane;
 use consensus::Member;
-use placement::{is_same, Company};
+use placement::{is_same_to_peers, RouterMembership};
 use protocol::{
     Answer, Frame, Front, FrontDemand, FrontShares, PeerRequest, PeerResponse, LEASE_MS,
 };
@@ -63,7 +63,7 @@
                 .is_none_or(|(_, before, _)| *before <= heard);
             if is_younger && front.age_ms < MAX_ROUTER_AGE_MS {
                 let before = self.known.get(&front.name);
-                is_other |= before.is_none_or(|(before, _, _)| !is_same(before, &front));
+                is_other |= before.is_none_or(|(before, _, _)| !is_same_to_peers(before, &front));
                 self.known
                     .insert(front.name.clone(), (front, heard, is_here));
             }
@@ -117,7 +117,7 @@
     let teller = Arc::clone(&control);
     let mut changes = control.router_list_version.subscribe();
     let told = tokio::spawn(async move {
-        let (mut told, mut last) = (Company::default(), None);
+        let (mut told, mut last) = (RouterMembership::default(), None);
         while let Some(out) = company.upgrade() {
             // Looked at before the lists: what changes after that is news the next time.
             let seen = *changes.borrow_and_update();
@@ -129,14 +129,14 @@
                 .all()
                 .cloned()
                 .collect();
-            let news = match last == Some(seen) && members == told.directories() {
-                true => told.nothing(),
-                false => told.news(teller.routers.lock().list(false), members),
+            let news = match last == Some(seen) && members == told.directory_nodes() {
+                true => told.empty_update(),
+                false => told.update_to(teller.routers.lock().list(false), members),
             };
             // What finds no place is news again the next time.
             last = None;
             if out.try_send(Frame::Company(news.clone())).is_ok() {
-                told.take(&news);
+                told.apply(&news);
                 last = Some(seen);
             }
             drop(out);
--- a/placement/src/allowance.rs
+++ b/placement/src/allowance.rs
@@ -6,7 +6,7 @@
 /// The bound over the whole fleet: in each window, for each service, further rounds
 /// are at most `ratio` of its jobs in that window and `extra`.
 #[derive(Clone, Copy)]
-pub struct Bound {
+pub struct RetryLimit {
     pub ratio: f64,
     pub window_ms: u64,
     pub extra: f64,
@@ -45,21 +45,21 @@
 /// One router's part of the bound. Invariant: over any window its own further
 /// rounds are at most its share of both terms, so that the routers together keep
 /// the bound without a word between them.
-pub struct Allowance {
-    bound: Bound,
+pub struct RetryBudget {
+    bound: RetryLimit,
     services: HashMap<String, Counts>,
 }
 
-impl Allowance {
-    pub fn new(bound: Bound) -> Allowance {
-        Allowance {
+impl RetryBudget {
+    pub fn new(bound: RetryLimit) -> RetryBudget {
+        RetryBudget {
             bound,
             services: HashMap::new(),
         }
     }
 
     /// A job for a service came in.
-    pub fn earn(&mut self, now: u64, service: &str) {
+    pub fn deposit(&mut self, now: u64, service: &str) {
         if !self.services.contains_key(service) {
             self.services.insert(service.to_string(), Counts::default());
         }
@@ -71,11 +71,11 @@
 
     /// Asks for one further round. `sharers` routers share the extra; 0 stands for
     /// not known, and then there is none.
-    pub fn spend(&mut self, now: u64, service: &str, sharers: usize) -> bool {
+    pub fn try_withdraw(&mut self, now: u64, service: &str, sharers: usize) -> bool {
         let Some(counts) = self.services.get_mut(service) else {
             return false;
         };
-        let Bound {
+        let RetryLimit {
             ratio,
             window_ms,
             extra,
--- a/placement/src/cache.rs
+++ b/placement/src/cache.rs
@@ -4,7 +4,7 @@
 
 /// What a look-up gave.
 #[derive(Debug, PartialEq)]
-pub enum Hit<T> {
+pub enum CacheLookup<T> {
     Fresh(T),
     /// Route by it, and refresh it behind.
     Stale(T),
@@ -46,30 +46,30 @@
     }
 
     /// Looks up a key; with a hit, the time that it has left: fresh, expiry.
-    pub fn get(&mut self, key: &str, now: u64) -> (Hit<T>, u64, u64) {
+    pub fn get(&mut self, key: &str, now: u64) -> (CacheLookup<T>, u64, u64) {
         self.uses += 1;
         let uses = self.uses;
         let Some(slot) = self.slots.get_mut(key) else {
-            return (Hit::Miss, 0, 0);
+            return (CacheLookup::Miss, 0, 0);
         };
         if now >= slot.expires_at {
-            self.drop_key(key);
-            return (Hit::Miss, 0, 0);
+            self.remove(key);
+            return (CacheLookup::Miss, 0, 0);
         }
         self.order.remove(&slot.used);
         slot.used = uses;
         self.order.insert(uses, key.to_string());
         let (fresh, expire) = (slot.fresh_until.saturating_sub(now), slot.expires_at - now);
         match fresh > 0 {
-            true => (Hit::Fresh(slot.value.clone()), fresh, expire),
-            false => (Hit::Stale(slot.value.clone()), 0, expire),
+            true => (CacheLookup::Fresh(slot.value.clone()), fresh, expire),
+            false => (CacheLookup::Stale(slot.value.clone()), 0, expire),
         }
     }
 
     /// Keeps a mapping. One that is never fresh is not kept, and whatever was
     /// kept under its key goes.
-    pub fn put(&mut self, key: &str, value: T, fresh_ms: u64, expire_ms: u64, now: u64) {
-        self.drop_key(key);
+    pub fn insert(&mut self, key: &str, value: T, fresh_ms: u64, expire_ms: u64, now: u64) {
+        self.remove(key);
         if fresh_ms == 0 || expire_ms == 0 {
             return;
         }
@@ -96,20 +96,20 @@
         );
     }
 
-    pub fn drop_key(&mut self, key: &str) {
+    pub fn remove(&mut self, key: &str) {
         if let Some(slot) = self.slots.remove(key) {
             self.order.remove(&slot.used);
         }
     }
 
-    pub fn drop_where(&mut self, is_void: impl Fn(&T) -> bool) -> usize {
+    pub fn remove_if(&mut self, is_void: impl Fn(&T) -> bool) -> usize {
         let void: Vec<String> = self
             .slots
             .iter()
             .filter(|(_, slot)| is_void(&slot.value))
             .map(|(key, _)| key.clone())
             .collect();
-        void.iter().for_each(|key| self.drop_key(key));
+        void.iter().for_each(|key| self.remove(key));
         void.len()
     }
 }
@@ -121,21 +121,25 @@
     #[test]
     fn times_decide_between_fresh_stale_and_miss() {
         let cases = [
-            (0, Hit::Fresh(1)),
-            (99, Hit::Fresh(1)),
-            (100, Hit::Stale(1)),
-            (999, Hit::Stale(1)),
-            (1000, Hit::Miss),
+            (0, CacheLookup::Fresh(1)),
+            (99, CacheLookup::Fresh(1)),
+            (100, CacheLookup::Stale(1)),
+            (999, CacheLookup::Stale(1)),
+            (1000, CacheLookup::Miss),
         ];
         for (now, wanted) in cases {
             let mut cache = Cache::new(4);
-            cache.put("k", 1, 100, 1000, 0);
+            cache.insert("k", 1, 100, 1000, 0);
             assert_eq!(cache.get("k", now).0, wanted, "at {now}");
         }
         let mut cache = Cache::new(4);
-        cache.put("k", 1, 100, 1000, 0);
-        cache.put("k", 2, 0, 1000, 1);
-        assert_eq!(cache.get("k", 1).0, Hit::Miss, "never fresh is never kept");
+        cache.insert("k", 1, 100, 1000, 0);
+        cache.insert("k", 2, 0, 1000, 1);
+        assert_eq!(
+            cache.get("k", 1).0,
+            CacheLookup::Miss,
+            "never fresh is never kept"
+        );
     }
 
     proptest::proptest! {
@@ -156,10 +160,10 @@
                     }
                 }
                 if is_put {
-                    cache.put(&name, key, 10, 10, 0);
+                    cache.insert(&name, key, 10, 10, 0);
                 } else {
                     let hit = cache.get(&name, 0).0;
-                    assert_eq!(hit, if known { Hit::Fresh(key) } else { Hit::Miss });
+                    assert_eq!(hit, if known { CacheLookup::Fresh(key) } else { CacheLookup::Miss });
                 }
                 assert_eq!(cache.len(), model.len());
             }
--- a/placement/src/engines.rs
+++ b/placement/src/engines.rs
@@ -82,7 +82,7 @@
             .map_or(0, |vitals| self.engine.slots.min(vitals.slots));
         let point = (f64::from(slots) * fill).ceil() as u32;
         self.vitals
-            .map_or(0, |vitals| vitals.warmth().limit(point.min(slots)))
+            .map_or(0, |vitals| vitals.slow_start().limit(point.min(slots)))
     }
 }
 
@@ -290,7 +290,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Warmth;
+    use crate::SlowStart;
     use residency::{Cell, EngineState, Event, Name, Zone};
 
     fn view(engines: usize) -> View {
@@ -387,7 +387,7 @@
                 engine
                     .jobs
                     .extend(come.into_iter().map(|(_, _, takes)| now + takes));
-                let limit = Warmth::after(engine.completed).limit(7);
+                let limit = SlowStart::after_responses(engine.completed).limit(7);
                 if limit < 7 {
                     flood.most_over = flood
                         .most_over
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -5,29 +5,29 @@
 
 mod allowance;
 mod cache;
-mod company;
 mod control;
 mod elect;
 mod engines;
 mod estimates;
-mod following;
 mod paces;
 mod pools;
+mod replica_view;
 mod request_state;
+mod router_membership;
 
-pub use allowance::{Allowance, Bound};
-pub use cache::{Cache, Hit};
-pub use company::{is_same, Company};
-pub use control::{Retries, Warmth, RETRY_LIFE_MS};
+pub use allowance::{RetryBudget, RetryLimit};
+pub use cache::{Cache, CacheLookup};
+pub use control::{RetryTokenBucket, SlowStart, RETRY_TOKEN_LIFETIME_MS};
 pub use elect::{elect, rank, Candidate};
 pub use engines::{may_have, Chosen, Engines, GONE_MS, SILENCE_MS};
 pub use estimates::{Estimates, News, Wanted};
-pub use following::{Following, Taken};
 pub use paces::{Meters, Paces, Place};
 pub use pools::{Margin, Pools, Taps, HOLD_MS, OPENING};
+pub use replica_view::{ReplicaUpdate, ReplicaView};
 pub use request_state::{
     ExecutionOutcome, InvalidTransition, RequestEvent, RequestState, RequestStateMachine,
 };
+pub use router_membership::{is_same_to_peers, RouterMembership};
 
 /// What an engine said of itself last, and when it was heard.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -45,15 +45,15 @@
 }
 
 impl Vitals {
-    pub fn warmth(&self) -> Warmth {
+    pub fn slow_start(&self) -> SlowStart {
         match self.is_warm {
-            true => Warmth::warm(),
-            false => Warmth::after(self.completed),
+            true => SlowStart::complete(),
+            false => SlowStart::after_responses(self.completed),
         }
     }
 
     pub fn is_cold(&self) -> bool {
-        !self.warmth().is_warm()
+        !self.slow_start().is_complete()
     }
 }
 
--- a/placement/src/following.rs
+++ b/placement/src/replica_view.rs
@@ -10,7 +10,7 @@
 /// late; a lease is counted from when its beat was sent, and is taken only
 /// where the view has all that the lease speaks of.
 #[derive(Default)]
-pub struct Following {
+pub struct ReplicaView {
     view: Arc<View>,
     /// Beats of this session that no lease has followed, with when they went.
     sent: BTreeMap<u64, u64>,
@@ -19,36 +19,40 @@
 
 /// What a frame of the session made of the view.
 #[derive(Debug, PartialEq)]
-pub enum Taken {
+pub enum ReplicaUpdate {
     /// Nothing new.
-    Same,
+    Unchanged,
     /// A whole new view: what it makes void is not known.
-    Picture,
+    Snapshot,
     /// The events of one entry came in.
-    Change,
+    Events,
 }
 
-impl Following {
+impl ReplicaView {
     pub fn view(&self) -> &Arc<View> {
         &self.view
     }
 
     /// Until when new work may be dispatched.
-    pub fn lease(&self) -> u64 {
+    pub fn lease_expires_at(&self) -> u64 {
         self.lease
     }
 
     /// A new session begins; beats of the one before count no more.
-    pub fn begin(&mut self) {
+    pub fn begin_session(&mut self) {
         self.sent.clear();
     }
 
-    pub fn beat(&mut self, now: u64, number: u64) {
+    pub fn record_heartbeat(&mut self, now: u64, number: u64) {
         self.sent.insert(number, now);
     }
 
     /// A refusal ends the session.
-    pub fn picture(&mut self, epoch: u64, events: &[Event]) -> Result<Taken, String> {
+    pub fn apply_snapshot(
+        &mut self,
+        epoch: u64,
+        events: &[Event],
+    ) -> Result<ReplicaUpdate, String> {
         let known = self.view.epoch;
         if epoch < known {
             return Err(format!(
@@ -60,13 +64,18 @@
         view.epoch = epoch;
         self.view = Arc::new(view);
         Ok(if epoch > known {
-            Taken::Picture
+            ReplicaUpdate::Snapshot
         } else {
-            Taken::Same
+            ReplicaUpdate::Unchanged
         })
     }
 
-    pub fn change(&mut self, prior: u64, epoch: u64, events: &[Event]) -> Result<Taken, String> {
+    pub fn apply_events(
+        &mut self,
+        prior: u64,
+        epoch: u64,
+        events: &[Event],
+    ) -> Result<ReplicaUpdate, String> {
         let known = self.view.epoch;
         if prior != known {
             return Err(format!("a change builds on {prior}, {known} is in force"));
@@ -75,12 +84,12 @@
         events.iter().for_each(|event| view.apply(event));
         view.epoch = epoch;
         self.view = Arc::new(view);
-        Ok(Taken::Change)
+        Ok(ReplicaUpdate::Events)
     }
 
     /// Until when the lease in answer to a beat lasts; `None` where the beat is
     /// not known, or the view lacks something that counted then.
-    pub fn lease_valid(&mut self, number: u64, epoch: u64) -> Option<u64> {
+    pub fn renew_lease(&mut self, number: u64, epoch: u64) -> Option<u64> {
         let asked = self.sent.remove(&number);
         self.sent = self.sent.split_off(&number);
         let until = asked.filter(|_| self.view.epoch >= epoch)? + LEASE_MS;
@@ -103,7 +112,7 @@
             let mut draw = crate::draws(seed);
             // When each epoch counted.
             let mut counted: Vec<u64> = vec![0];
-            let mut following = Following::default();
+            let mut following = ReplicaView::default();
             let (mut number, mut node, mut said) = (0u64, 0u64, 0u64);
             let mut leases: Vec<(u64, u64, u64)> = Vec::new();
             let (mut highest, mut taken, mut stuck) = (0, 0, 0);
@@ -114,11 +123,11 @@
                 let newest = counted.len() as u64 - 1;
                 if draw(150) == 0 {
                     // Another node, which may know less: its picture comes first.
-                    following.begin();
+                    following.begin_session();
                     leases.clear();
                     node = newest.saturating_sub(draw(6));
                     said = node;
-                    drop(following.picture(node, &[]));
+                    drop(following.apply_snapshot(node, &[]));
                 }
                 // Some are stuck behind for seconds, and pass leases on.
                 if draw(600) == 0 {
@@ -131,14 +140,14 @@
                     let gone = [Event::ZoneReinstated(Name("z".into()))];
                     // Sometimes a frame is lost, and the next one does not fit.
                     said += 1 + u64::from(draw(30) == 0);
-                    if following.change(said - 1, said, &gone).is_err() {
+                    if following.apply_events(said - 1, said, &gone).is_err() {
                         said = node;
-                        drop(following.picture(node, &[]));
+                        drop(following.apply_snapshot(node, &[]));
                     }
                 }
                 if draw(30) == 0 {
                     number += 1;
-                    following.beat(now, number);
+                    following.record_heartbeat(now, number);
                     // The leader confirms all that counted when it was asked.
                     leases.push((now + 1 + draw(900), number, newest));
                 }
@@ -149,7 +158,7 @@
                     .collect();
                 leases.retain(|(at, ..)| *at > now);
                 for (_, number, epoch) in due {
-                    taken += usize::from(following.lease_valid(number, epoch).is_some());
+                    taken += usize::from(following.renew_lease(number, epoch).is_some());
                 }
                 let epoch = following.view().epoch;
                 assert!(
@@ -157,7 +166,7 @@
                     "seed {seed}: it fell from {highest} to {epoch}"
                 );
                 highest = epoch;
-                if now < following.lease() {
+                if now < following.lease_expires_at() {
                     let owed = counted
                         .iter()
                         .rposition(|at| at + 3_000 <= now)
--- a/placement/src/company.rs
+++ b/placement/src/router_membership.rs
@@ -10,7 +10,7 @@
 /// it has put on its way to the router, and the router takes it in in this order,
 /// so that both have the same.
 #[derive(Default)]
-pub struct Company {
+pub struct RouterMembership {
     fronts: BTreeMap<String, Front>,
     directories: Vec<Member>,
     has_begun: bool,
@@ -18,7 +18,7 @@
 
 /// Whether a router's report says the same to the other routers. Its age and the
 /// epoch that it has are nothing to them, but for whether it has one.
-pub fn is_same(one: &Front, other: &Front) -> bool {
+pub fn is_same_to_peers(one: &Front, other: &Front) -> bool {
     let said = |front: &Front| (front.is_leaving, front.epoch > 0);
     said(one) == said(other)
         && one.address == other.address
@@ -27,17 +27,17 @@
         && one.region == other.region
 }
 
-impl Company {
-    pub fn fronts(&self) -> impl Iterator<Item = &Front> {
+impl RouterMembership {
+    pub fn routers(&self) -> impl Iterator<Item = &Front> {
         self.fronts.values()
     }
 
-    pub fn directories(&self) -> &[Member] {
+    pub fn directory_nodes(&self) -> &[Member] {
         &self.directories
     }
 
     /// What is to be said for the other end to have these; it may be nothing.
-    pub fn news(&self, fronts: Vec<Front>, directories: Vec<Member>) -> News {
+    pub fn update_to(&self, fronts: Vec<Front>, directories: Vec<Member>) -> News {
         let names: BTreeSet<&str> = fronts.iter().map(|front| front.name.as_str()).collect();
         let gone = self
             .fronts
@@ -47,7 +47,7 @@
         let is_news = |front: &Front| {
             self.fronts
                 .get(&front.name)
-                .is_none_or(|known| !is_same(known, front))
+                .is_none_or(|known| !is_same_to_peers(known, front))
         };
         let is_known = self.has_begun && directories == self.directories;
         News {
@@ -59,7 +59,7 @@
     }
 
     /// What is said where nothing came, left or changed.
-    pub fn nothing(&self) -> News {
+    pub fn empty_update(&self) -> News {
         News {
             is_first: u8::from(!self.has_begun),
             fronts: Vec::new(),
@@ -68,9 +68,9 @@
         }
     }
 
-    pub fn take(&mut self, news: &News) {
+    pub fn apply(&mut self, news: &News) {
         if news.is_first != 0 {
-            *self = Company::default();
+            *self = RouterMembership::default();
         }
         self.has_begun = true;
         for front in &news.fronts {
--- a/placement/tests/allowance.rs
+++ b/placement/tests/allowance.rs
@@ -1,8 +1,8 @@
 //! Further rounds over a fleet, against the bound on every window.
 
-use placement::{Allowance, Bound};
+use placement::{RetryBudget, RetryLimit};
 
-const BOUND: Bound = Bound {
+const BOUND: RetryLimit = RetryLimit {
     ratio: 0.2,
     window_ms: 10_000,
     extra: 58.0,
@@ -21,19 +21,19 @@
             (state >> 11) % below
         };
         let fleet = 9;
-        let mut routers: Vec<Allowance> = (0..fleet).map(|_| Allowance::new(BOUND)).collect();
+        let mut routers: Vec<RetryBudget> = (0..fleet).map(|_| RetryBudget::new(BOUND)).collect();
         let (mut jobs, mut rounds) = (Vec::new(), Vec::new());
         let mut now = 1_000;
         while now < 60_000 {
             now += draw(if now % 15_000 < 4_000 { 6 } else { 60 });
             let at = draw(fleet) as usize;
             if draw(2_000) == 0 {
-                routers[at] = Allowance::new(BOUND);
+                routers[at] = RetryBudget::new(BOUND);
             }
-            routers[at].earn(now, "s");
+            routers[at].deposit(now, "s");
             jobs.push(now);
             for _ in 0..3 {
-                if routers[at].spend(now, "s", fleet as usize) {
+                if routers[at].try_withdraw(now, "s", fleet as usize) {
                     rounds.push(now);
                 }
             }
@@ -56,13 +56,13 @@
 
 #[test]
 fn nothing_is_spent_for_services_or_fleets_that_are_not_known() {
-    let mut allowance = Allowance::new(BOUND);
-    assert!(!allowance.spend(1, "s", 3), "no job came for it");
-    allowance.earn(1, "s");
+    let mut allowance = RetryBudget::new(BOUND);
+    assert!(!allowance.try_withdraw(1, "s", 3), "no job came for it");
+    allowance.deposit(1, "s");
     assert!(
-        !allowance.spend(2, "s", 0),
+        !allowance.try_withdraw(2, "s", 0),
         "how many share the extra is not known"
     );
-    assert!(allowance.spend(2, "s", 3));
-    assert!(!allowance.spend(2, "other", 3));
+    assert!(allowance.try_withdraw(2, "s", 3));
+    assert!(!allowance.try_withdraw(2, "other", 3));
 }
--- a/placement/tests/company.rs
+++ b/placement/tests/router_membership.rs
@@ -1,7 +1,7 @@
 //! Company told by what is new: both ends have the same, and little is said.
 
 use consensus::Member;
-use placement::Company;
+use placement::RouterMembership;
 use protocol::{Front, News};
 
 fn front(number: u64, epoch: u64, is_leaving: bool, age_ms: u64) -> Front {
@@ -29,7 +29,7 @@
     (1..=count).map(member).collect()
 }
 
-fn said(company: &Company) -> Vec<(String, String, bool, u8)> {
+fn said(company: &RouterMembership) -> Vec<(String, String, bool, u8)> {
     let said = |front: &Front| {
         (
             front.name.clone(),
@@ -38,7 +38,7 @@
             front.is_leaving,
         )
     };
-    company.fronts().map(said).collect()
+    company.routers().map(said).collect()
 }
 
 /// Guards: a router knows of the others what a whole list would tell it, whatever
@@ -53,7 +53,7 @@
                 .wrapping_add(1_442_695_040_888);
             (state >> 33) % below
         };
-        let (mut node, mut router) = (Company::default(), Company::default());
+        let (mut node, mut router) = (RouterMembership::default(), RouterMembership::default());
         let mut there: Vec<Front> = Vec::new();
         let mut nodes = 1;
         for step in 0..200 {
@@ -73,19 +73,19 @@
             }
             if draw(40) == 0 {
                 // Another session: its node has told this router nothing yet.
-                node = Company::default();
+                node = RouterMembership::default();
             }
-            let news = node.news(there.clone(), members(nodes));
+            let news = node.update_to(there.clone(), members(nodes));
             if draw(5) == 0 {
                 continue;
             }
-            node.take(&news);
-            router.take(&news);
-            let mut wanted = Company::default();
-            wanted.take(&Company::default().news(there.clone(), members(nodes)));
+            node.apply(&news);
+            router.apply(&news);
+            let mut wanted = RouterMembership::default();
+            wanted.apply(&RouterMembership::default().update_to(there.clone(), members(nodes)));
             assert_eq!(said(&router), said(&wanted), "seed {seed}, step {step}");
             assert_eq!(
-                router.directories(),
+                router.directory_nodes(),
                 members(nodes),
                 "seed {seed}, step {step}"
             );
@@ -100,21 +100,21 @@
             .map(|n| front(n, epoch, false, age))
             .collect::<Vec<_>>()
     };
-    let mut node = Company::default();
-    let first = node.news(list(1, 0), members(8));
+    let mut node = RouterMembership::default();
+    let first = node.update_to(list(1, 0), members(8));
     assert_eq!(
         (first.is_first, first.fronts.len(), first.directories.len()),
         (1, 350, 8)
     );
-    node.take(&first);
+    node.apply(&first);
     let nothing = News {
         is_first: 0,
         fronts: Vec::new(),
         gone: Vec::new(),
         directories: Vec::new(),
     };
-    assert_eq!(node.news(list(2, 700), members(8)), nothing);
-    assert_eq!(node.nothing(), nothing);
+    assert_eq!(node.update_to(list(2, 700), members(8)), nothing);
+    assert_eq!(node.empty_update(), nothing);
     let length = protocol::encode(&protocol::Frame::Company(nothing)).len();
     assert!(length <= 32, "nothing new is said in {length} bytes");
 }
--- a/router/src/cache_tiers.rs
+++ b/router/src/cache_tiers.rs
@@ -1,7 +1,7 @@
 //! The two cached layers, and the lookups in flight.
 
 use parking_lot::Mutex;
-use placement::{Cache, Hit};
+use placement::{Cache, CacheLookup};
 use residency::{Event, InvalidationScope, Mapping};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -70,10 +70,8 @@
                 .retain(|(known, _)| *touch != InvalidationScope::All && known != touch);
             invalidations.0.push((touch.clone(), epoch));
             drop(invalidations);
-            self.own.lock().drop_where(|mapping| touch.covers(mapping));
-            self.share
-                .lock()
-                .drop_where(|mapping| touch.covers(mapping));
+            self.own.lock().remove_if(|mapping| touch.covers(mapping));
+            self.share.lock().remove_if(|mapping| touch.covers(mapping));
         }
     }
 
@@ -82,12 +80,12 @@
         self.invalidate(epoch, &[Event::Invalidated(InvalidationScope::All)]);
     }
 
-    pub fn get_local(&self, key: &str) -> Hit<Mapping> {
+    pub fn get_local(&self, key: &str) -> CacheLookup<Mapping> {
         self.own.lock().get(key, now()).0
     }
 
     /// This router's share of the region's layer; times are what is left.
-    pub fn get_regional(&self, key: &str) -> Hit<Mapping> {
+    pub fn get_regional(&self, key: &str) -> CacheLookup<Mapping> {
         let (hit, fresh_ms, expire_ms) = self.share.lock().get(key, now());
         let left = |mapping| Mapping {
             fresh_ms,
@@ -95,9 +93,9 @@
             ..mapping
         };
         match hit {
-            Hit::Fresh(mapping) => Hit::Fresh(left(mapping)),
-            Hit::Stale(mapping) => Hit::Stale(left(mapping)),
-            Hit::Miss => Hit::Miss,
+            CacheLookup::Fresh(mapping) => CacheLookup::Fresh(left(mapping)),
+            CacheLookup::Stale(mapping) => CacheLookup::Stale(left(mapping)),
+            CacheLookup::Miss => CacheLookup::Miss,
         }
     }
 
@@ -115,7 +113,7 @@
         // the mapping there and drops it.
         if !self.is_void(mapping) {
             let (fresh_ms, expire_ms) = (mapping.fresh_ms, mapping.expire_ms);
-            layer.put(
+            layer.insert(
                 &mapping.routing_key(),
                 mapping.clone(),
                 fresh_ms,
--- a/router/src/extensions.rs
+++ b/router/src/extensions.rs
@@ -5,7 +5,7 @@
 use dispatch::Carriage;
 use http::HeaderMap;
 use parking_lot::Mutex;
-use placement::{Margin, Retries};
+use placement::{Margin, RetryTokenBucket};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use transport::web::{Handler, Refusal, Request, Response, JOB};
@@ -73,11 +73,11 @@
 
 impl Default for RetryPolicy {
     fn default() -> RetryPolicy {
-        let retries = Arc::new(Mutex::new(Retries::default()));
+        let retries = Arc::new(Mutex::new(RetryTokenBucket::default()));
         let earned = Arc::clone(&retries);
         RetryPolicy {
-            deposit: Arc::new(move |now, _, share| earned.lock().earn(now, share)),
-            withdraw: Arc::new(move |now, _, _| retries.lock().spend(now)),
+            deposit: Arc::new(move |now, _, share| earned.lock().deposit(now, share)),
+            withdraw: Arc::new(move |now, _, _| retries.lock().try_withdraw(now)),
         }
     }
 }
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -9,7 +9,7 @@
 use dropshot::Body;
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
-use placement::{ExecutionOutcome, Hit, RequestEvent, RequestState, RequestStateMachine};
+use placement::{CacheLookup, ExecutionOutcome, RequestEvent, RequestState, RequestStateMachine};
 use policy::{Extract, Field, Head, Source, Target, BODY_CAP};
 use protocol::Answer;
 use residency::{Mapping, View};
@@ -535,29 +535,29 @@
 async fn known(router: &Arc<Router>, key: &str, keyed: &Keyed) -> Option<Mapping> {
     let count = |name| router.metrics.increment(name);
     match router.cache_tiers.get_local(key) {
-        Hit::Fresh(mapping) => {
+        CacheLookup::Fresh(mapping) => {
             count("own-fresh");
             return Some(mapping);
         }
-        Hit::Stale(mapping) => {
+        CacheLookup::Stale(mapping) => {
             count("own-stale");
             refresh(router, key, keyed);
             return Some(mapping);
         }
-        Hit::Miss => {}
+        CacheLookup::Miss => {}
     }
     match membership::look(router, key).await {
-        Hit::Fresh(mapping) => {
+        CacheLookup::Fresh(mapping) => {
             count("shared-fresh");
             router.cache_tiers.insert_local(&mapping);
             Some(mapping)
         }
-        Hit::Stale(mapping) => {
+        CacheLookup::Stale(mapping) => {
             count("shared-stale");
             refresh(router, key, keyed);
             Some(mapping)
         }
-        Hit::Miss => {
+        CacheLookup::Miss => {
             count("misses");
             None
         }
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -4,7 +4,7 @@
 use crate::Router;
 use consensus::Member;
 use parking_lot::Mutex;
-use placement::Hit;
+use placement::CacheLookup;
 use protocol::{Frame, Front, Kind, News};
 use residency::Mapping;
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 /// Soft knowledge, from what a directory node tells.
 #[derive(Default)]
 pub struct Membership {
-    known: placement::Company,
+    known: placement::RouterMembership,
     /// The marks of the routers that may begin work at cold engines.
     marks: Vec<u64>,
     /// When it was last told, and since when it has told of this router.
@@ -40,7 +40,7 @@
 impl Membership {
     pub fn take(&mut self, name: &str, news: &News) {
         let (at, has_gap) = (now(), now() >= self.told + SETTLED_MS);
-        self.known.take(news);
+        self.known.apply(news);
         let is_listed = self.fronts().any(|front| front.name == name);
         self.listed = self
             .listed
@@ -52,7 +52,7 @@
             let own = policy::mark(name.as_bytes());
             let marks = self
                 .known
-                .fronts()
+                .routers()
                 .map(|front| policy::mark(front.name.as_bytes()));
             self.marks = std::iter::once(own)
                 .chain(marks.filter(|mark| *mark != own))
@@ -61,11 +61,11 @@
     }
 
     pub fn fronts(&self) -> impl Iterator<Item = &Front> {
-        self.known.fronts()
+        self.known.routers()
     }
 
     pub fn directories(&self) -> &[Member] {
-        self.known.directories()
+        self.known.directory_nodes()
     }
 
     /// How many routers there were when it was last told, this one among them; 0
@@ -178,7 +178,7 @@
 }
 
 /// Looks a key up in the region's layer. Failing is a miss.
-pub async fn look(router: &Arc<Router>, key: &str) -> Hit<Mapping> {
+pub async fn look(router: &Arc<Router>, key: &str) -> CacheLookup<Mapping> {
     let Some(to) = owner(router, key) else {
         return router.cache_tiers.get_regional(key);
     };
@@ -199,14 +199,14 @@
             if mapping.routing_key() == key && !router.cache_tiers.is_void(&mapping) =>
         {
             match mapping.fresh_ms > 0 {
-                true => Hit::Fresh(mapping),
-                false => Hit::Stale(mapping),
+                true => CacheLookup::Fresh(mapping),
+                false => CacheLookup::Stale(mapping),
             }
         }
-        Ok(Ok(_)) => Hit::Miss,
+        Ok(Ok(_)) => CacheLookup::Miss,
         _ => {
             router.metrics.increment("neighbours-silent");
-            Hit::Miss
+            CacheLookup::Miss
         }
     }
 }
@@ -240,13 +240,13 @@
                 // A share that is behind the asking router does not know what is void.
                 let is_behind = router.view.borrow().epoch < epoch;
                 let hit = if is_behind {
-                    Hit::Miss
+                    CacheLookup::Miss
                 } else {
                     router.cache_tiers.get_regional(&key)
                 };
                 let mapping = match hit {
-                    Hit::Fresh(mapping) | Hit::Stale(mapping) => vec![mapping],
-                    Hit::Miss => Vec::new(),
+                    CacheLookup::Fresh(mapping) | CacheLookup::Stale(mapping) => vec![mapping],
+                    CacheLookup::Miss => Vec::new(),
                 };
                 link::send(&mut stream, &Frame::Seen { number, mapping }).await?;
             }
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -3,7 +3,7 @@
 
 use crate::Router;
 use parking_lot::Mutex;
-use placement::{Following, Taken};
+use placement::{ReplicaUpdate, ReplicaView};
 use protocol::{Answer, Frame, Front, Kind};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -133,7 +133,7 @@
 }
 
 pub async fn run(router: Arc<Router>) {
-    let mut replica_view = Following::default();
+    let mut replica_view = ReplicaView::default();
     loop {
         for way in ways(&router) {
             let had_lease = router.lease.load(Ordering::Relaxed);
@@ -166,11 +166,11 @@
 
 async fn hold(
     router: &Arc<Router>,
-    replica_view: &mut Following,
+    replica_view: &mut ReplicaView,
     way: SocketAddr,
 ) -> anyhow::Result<()> {
     let boot = &router.settings;
-    replica_view.begin();
+    replica_view.begin_session();
     let stream = link::dial(boot.peer_listen_address, way, Kind::Router, &boot.name).await?;
     let (mut reader, mut writer) = stream.into_split();
     let (out, mut queue) = mpsc::channel(256);
@@ -197,7 +197,7 @@
                 last = now();
                 anyhow::ensure!(now() < lease_valid + PATIENCE_MS, "no lease comes from it");
                 let number = router.heartbeats.fetch_add(1, Ordering::Relaxed) + 1;
-                replica_view.beat(now(), number);
+                replica_view.record_heartbeat(now(), number);
                 let front = Front {
                     name: boot.name.clone(),
                     region: boot.region.clone(),
@@ -220,9 +220,9 @@
                 let frame = frame.unwrap_or(Ok(None))?;
                 let Some(frame) = frame else { anyhow::bail!("it closed") };
                 if let Frame::Lease { number, epoch, shares } = &frame {
-                    if let Some(until) = replica_view.lease_valid(*number, *epoch) {
+                    if let Some(until) = replica_view.renew_lease(*number, *epoch) {
                         lease_valid = now();
-                        router.lease.store(replica_view.lease(), Ordering::Relaxed);
+                        router.lease.store(replica_view.lease_expires_at(), Ordering::Relaxed);
                         router.quota.take(*number, until, shares);
                     }
                     continue;
@@ -233,13 +233,13 @@
     }
 }
 
-fn take(router: &Arc<Router>, replica_view: &mut Following, frame: Frame) -> anyhow::Result<()> {
+fn take(router: &Arc<Router>, replica_view: &mut ReplicaView, frame: Frame) -> anyhow::Result<()> {
     match frame {
         Frame::Picture { epoch, events } => {
             let taken = replica_view
-                .picture(epoch, &events)
+                .apply_snapshot(epoch, &events)
                 .map_err(anyhow::Error::msg)?;
-            if taken == Taken::Picture {
+            if taken == ReplicaUpdate::Snapshot {
                 router.cache_tiers.invalidate_all(epoch);
             }
             router.view.send_replace(Arc::clone(replica_view.view()));
@@ -252,7 +252,7 @@
             events,
         } => {
             replica_view
-                .change(prior, epoch, &events)
+                .apply_events(prior, epoch, &events)
                 .map_err(anyhow::Error::msg)?;
             // The caches first: whoever sees the new view finds nothing void.
             router.cache_tiers.invalidate(epoch, &events);
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -7,7 +7,7 @@
 use dispatch::quota::Quota;
 use nix::time::{clock_gettime, ClockId};
 use parking_lot::Mutex;
-use placement::{Company, Following, Margin};
+use placement::{Margin, ReplicaView, RouterMembership};
 use protocol::{Frame, Front, Kind};
 use simd_json::json;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -61,12 +61,12 @@
     number: usize,
     source: SocketAddr,
     place: (String, String),
-    following: Following,
+    following: ReplicaView,
     quota: Quota,
     beats: u64,
     /// Each epoch that came into force here, with when.
     epochs: Vec<(u64, f64)>,
-    company: Company,
+    company: RouterMembership,
     /// When the lease that is held here came, on the shared clock.
     lease_valid: f64,
     leases: u64,
@@ -82,11 +82,11 @@
             number,
             source: SocketAddr::from((address(settings.octet, number), 7362)),
             place: settings.places[number % settings.places.len()].clone(),
-            following: Following::default(),
+            following: ReplicaView::default(),
             quota: Quota::without_waiting(settings.margin),
             beats: 0,
             epochs: Vec::new(),
-            company: Company::default(),
+            company: RouterMembership::default(),
             lease_valid: 0.0,
             leases: 0,
             sessions: 0,
@@ -110,7 +110,7 @@
     /// Where to find a directory node, the nearest first, as a router has it.
     fn ways(&self, settings: &Settings) -> Vec<SocketAddr> {
         let mut ways: Vec<(u8, u32, SocketAddr)> = Vec::new();
-        for member in self.company.directories() {
+        for member in self.company.directory_nodes() {
             let far = match () {
                 _ if member.zone == self.place.0 => 0,
                 _ if member.region == self.place.1 => 1,
@@ -143,7 +143,7 @@
                 epoch,
                 shares,
             } => {
-                if let Some(until) = self.following.lease_valid(number, epoch) {
+                if let Some(until) = self.following.renew_lease(number, epoch) {
                     self.lease_valid = clock();
                     self.leases += 1;
                     self.quota.take(number, until, &shares);
@@ -151,7 +151,7 @@
             }
             Frame::Picture { epoch, events } => {
                 self.following
-                    .picture(epoch, &events)
+                    .apply_snapshot(epoch, &events)
                     .map_err(anyhow::Error::msg)?;
                 self.note();
             }
@@ -161,11 +161,11 @@
                 events,
             } => {
                 self.following
-                    .change(prior, epoch, &events)
+                    .apply_events(prior, epoch, &events)
                     .map_err(anyhow::Error::msg)?;
                 self.note();
             }
-            Frame::Company(news) => self.company.take(&news),
+            Frame::Company(news) => self.company.apply(&news),
             Frame::Refused { text } => bail!("it refuses: {text}"),
             other => bail!("an unexpected frame: {other:?}"),
         }
@@ -183,7 +183,7 @@
     }
     let routers = hollow
         .company
-        .fronts()
+        .routers()
         .count()
         .max(view.router_count as usize);
     let jobs = if hollow.asked == 0 {
@@ -222,7 +222,7 @@
 ) -> anyhow::Result<()> {
     let (source, name) = {
         let mut hollow = hollow.lock();
-        hollow.following.begin();
+        hollow.following.begin_session();
         hollow.sessions += 1;
         (hollow.source, hollow.name.clone())
     };
@@ -243,7 +243,7 @@
                 );
                 hollow.beats += 1;
                 let number = hollow.beats;
-                hollow.following.beat(now(), number);
+                hollow.following.record_heartbeat(now(), number);
                 let demand = hollow.quota.demands(&name, number);
                 Frame::Beat {
                     front: hollow.front(),
@@ -340,13 +340,13 @@
             let (mut lowest, mut known, mut engines) = (u64::MAX, u64::MAX, u64::MAX);
             for hollow in all {
                 let hollow = hollow.lock();
-                lease_valid += u64::from(now() < hollow.following.lease());
+                lease_valid += u64::from(now() < hollow.following.lease_expires_at());
                 sessions += hollow.sessions;
                 leases += hollow.leases;
                 beats += hollow.beats;
                 let view = hollow.following.view();
                 lowest = lowest.min(view.epoch);
-                known = known.min(hollow.company.fronts().count() as u64);
+                known = known.min(hollow.company.routers().count() as u64);
                 engines = engines.min(view.engines.len() as u64);
             }
             let value = json!({
