--- a/consensus/src/pack.rs
+++ b/consensus/src/codec.rs
@@ -32,7 +32,7 @@
 
 /// Reads a UTF-8 string: its length in bytes, then its bytes.
 #[binrw::parser(reader, endian)]
-pub fn read_text() -> BinResult<String> {
+pub fn read_string() -> BinResult<String> {
     let place = reader.stream_position()?;
     let bytes = read_bytes(reader, endian, ())?;
     String::from_utf8(bytes).map_err(|_| binrw::Error::AssertFail {
@@ -41,9 +41,9 @@
     })
 }
 
-/// Writes a string as `read_text` reads it.
+/// Writes a string as `read_string` reads it.
 #[binrw::writer(writer, endian)]
-pub fn write_text(text: &String) -> BinResult<()> {
+pub fn write_string(text: &String) -> BinResult<()> {
     (text.len() as u32).write_options(writer, endian, ())?;
     writer.write_all(text.as_bytes())?;
     Ok(())
@@ -78,7 +78,7 @@
 
 /// Encodes one item, big-endian. Invariant: writing to memory cannot fail, so this
 /// never does.
-pub fn packed<T>(item: &T) -> Vec<u8>
+pub fn to_bytes<T>(item: &T) -> Vec<u8>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
@@ -89,7 +89,7 @@
 }
 
 /// Decodes one item that fills `bytes` to the last.
-pub fn unpacked<T>(bytes: &[u8]) -> Result<T, String>
+pub fn from_bytes<T>(bytes: &[u8]) -> Result<T, String>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
 {
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -2,18 +2,19 @@
 //!
 //! `node` decides: terms, votes, replication, membership, snapshots. `wal`
 //! persists: checksummed segments with snapshots beside them, over the small
-//! `Files` trait. Neither has a clock, a socket or a task; time, input and
+//! `LogStorage` trait. Neither has a clock, a socket or a task; time, input and
 //! randomness are arguments, effects are returned values.
 
 #![warn(missing_docs)]
 
+pub mod codec;
 pub mod node;
-pub mod pack;
 pub mod repair;
 pub mod wal;
 
 use binrw::binrw;
-use pack::{read_bytes, read_list, read_text, write_bytes, write_list, write_text};
+use codec::{read_bytes, read_list, read_string, write_bytes, write_list, write_string};
+use repair::MembershipChange;
 use std::fmt;
 
 /// Identity of a node, unique in its cluster; 0 is no node.
@@ -32,25 +33,25 @@
     /// Unique for the life of the cluster.
     pub identity: NodeId,
     /// Name given by the operator, for people and for finding a replaced node.
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub name: String,
     /// Region the node runs in; voters are spread over regions.
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub region: String,
     /// Availability zone within the region.
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub zone: String,
     /// Address at which other directory nodes and the routers reach it.
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub address: String,
     /// Address at which operators reach it.
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
-    pub desk: String,
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
+    pub operator_address: String,
 }
 
 /// The members of the cluster. Invariant: no identity occurs twice, in one list
@@ -95,18 +96,17 @@
     }
 
     /// Makes one change. A member that it names and that is not found is ignored.
-    pub fn apply(&mut self, change: repair::Change) {
-        use repair::Change;
+    pub fn apply(&mut self, change: MembershipChange) {
         match change {
-            Change::Promote(identity) => {
+            MembershipChange::PromoteLearner(identity) => {
                 let member = take(&mut self.learners, identity);
                 self.voters.extend(member);
             }
-            Change::Demote(identity) => {
+            MembershipChange::DemoteVoter(identity) => {
                 let member = take(&mut self.voters, identity);
                 self.learners.extend(member);
             }
-            Change::Forget(identity) => drop(take(&mut self.learners, identity)),
+            MembershipChange::RemoveLearner(identity) => drop(take(&mut self.learners, identity)),
         }
     }
 }
@@ -126,7 +126,7 @@
     /// A new leader's first entry, without content: once it is committed, so are all
     /// entries of earlier terms before it.
     #[brw(magic = 0u8)]
-    Blank,
+    Noop,
     /// A command of the state machine, opaque to this package.
     #[brw(magic = 1u8)]
     Command(
@@ -200,21 +200,21 @@
     /// The sender's term.
     pub term: Term,
     /// What is asked or answered.
-    pub body: Body,
+    pub body: MessageBody,
 }
 
 /// Requests and responses of the protocol.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq, Hash)]
-pub enum Body {
+pub enum MessageBody {
     /// Asks whether a vote would be granted; changes no state at the receiver.
     #[brw(magic = 0u8)]
     PreVote {
         /// Index of the last entry in the sender's log.
-        last_index: LogIndex,
+        last_log_index: LogIndex,
         /// Term of that entry.
-        last_term: Term,
+        last_log_term: Term,
     },
     /// Answers a pre-vote.
     #[brw(magic = 1u8)]
@@ -226,11 +226,11 @@
     },
     /// Asks for a vote in the sender's term.
     #[brw(magic = 2u8)]
-    Vote {
+    RequestVote {
         /// Index of the last entry in the candidate's log.
-        last_index: LogIndex,
+        last_log_index: LogIndex,
         /// Term of that entry.
-        last_term: Term,
+        last_log_term: Term,
         /// The election needs no wait for the leader's silence: the leader itself asked
         /// for it, or the cluster is being bootstrapped.
         #[br(map = |n: u8| n != 0)]
@@ -239,7 +239,7 @@
     },
     /// Answers a request for a vote.
     #[brw(magic = 3u8)]
-    VoteResponse {
+    RequestVoteResponse {
         /// Whether the vote was given to the candidate.
         #[br(map = |n: u8| n != 0)]
         #[bw(map = |b: &bool| u8::from(*b))]
@@ -249,14 +249,14 @@
     #[brw(magic = 4u8)]
     AppendEntries {
         /// Index of the entry just before `entries`.
-        prior_index: LogIndex,
+        prev_log_index: LogIndex,
         /// Term of that entry; the follower's log must match it.
-        prior_term: Term,
+        prev_log_term: Term,
         /// The leader's commit index.
-        commit: LogIndex,
+        leader_commit: LogIndex,
         /// The leader's heartbeat round, returned in the response.
         round: u64,
-        /// Consecutive entries from `prior_index + 1` on.
+        /// Consecutive entries from `prev_log_index + 1` on.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         entries: Vec<Entry>,
@@ -264,13 +264,13 @@
     /// Answers `AppendEntries` and `InstallSnapshot`; also reports a later sync.
     #[brw(magic = 5u8)]
     AppendEntriesResponse {
-        /// Whether the log matched at `prior_index`.
+        /// Whether the log matched at `prev_log_index`.
         #[br(map = |n: u8| n != 0)]
         #[bw(map = |b: &bool| u8::from(*b))]
         is_match: bool,
         /// Synced on the sender's disk and the same as the leader's up to
         /// here; where `is_match` is false, where to try next.
-        matched: LogIndex,
+        match_index: LogIndex,
         /// The round of the request; 0 where it answers none of this leader's rounds.
         round: u64,
     },
--- a/consensus/src/node/election.rs
+++ b/consensus/src/node/election.rs
@@ -1,7 +1,7 @@
 //! Elections: pre-vote, votes, taking and giving up leadership.
 
-use super::{Effect, Node, Peer, Refusal, Role, Write};
-use crate::{Body, Entry, EntryPayload, HardState, NodeId};
+use super::{Effect, Node, Peer, RequestError, Role, Write};
+use crate::{Entry, EntryPayload, HardState, MessageBody, NodeId};
 
 impl Node {
     pub(super) fn tick(&mut self) {
@@ -29,9 +29,9 @@
             if self.members.is_voter(self.identity) && !self.is_stalled() {
                 self.role = Role::PreCandidate;
                 self.votes = vec![self.identity];
-                let body = Body::PreVote {
-                    last_index: self.last(),
-                    last_term: self.last_term(),
+                let body = MessageBody::PreVote {
+                    last_log_index: self.last_index(),
+                    last_log_term: self.last_term(),
                 };
                 self.send_to_voters(body);
                 self.tally();
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(super) fn send_to_voters(&mut self, body: Body) {
+    pub(super) fn send_to_voters(&mut self, body: MessageBody) {
         let voters: Vec<NodeId> = self.members.voters.iter().map(|v| v.identity).collect();
         for voter in voters {
             self.send(voter, body.clone());
@@ -57,9 +57,9 @@
             ..self.hard_state
         };
         self.persist_hard_state(hard_state);
-        let body = Body::Vote {
-            last_index: self.last(),
-            last_term: self.last_term(),
+        let body = MessageBody::RequestVote {
+            last_log_index: self.last_index(),
+            last_log_term: self.last_term(),
             is_transfer,
         };
         self.send_to_voters(body);
@@ -102,9 +102,9 @@
         self.peers.clear();
         self.reads.clear();
         let entry = Entry {
-            index: self.last() + 1,
+            index: self.last_index() + 1,
             term: self.hard_state.term,
-            payload: EntryPayload::Blank,
+            payload: EntryPayload::Noop,
         };
         self.append(entry);
         self.broadcast();
@@ -114,10 +114,11 @@
         if self.role == Role::Leader {
             for (_, _, token) in std::mem::take(&mut self.reads) {
                 self.effects
-                    .push(Effect::Refused(token, Refusal::NotLeader));
+                    .push(Effect::Rejected(token, RequestError::NotLeader));
             }
             for (_, (_, token)) in std::mem::take(&mut self.waiting) {
-                self.effects.push(Effect::Refused(token, Refusal::Lost));
+                self.effects
+                    .push(Effect::Rejected(token, RequestError::LeadershipLost));
             }
         }
         self.role = Role::Follower;
@@ -152,10 +153,10 @@
             .iter()
             .filter_map(|voter| Some((voter.identity, self.peers.get(&voter.identity)?)))
             .filter(|(_, peer)| now - peer.last_heard < self.timing.election_timeout_ms)
-            .max_by_key(|(_, peer)| peer.matched)
+            .max_by_key(|(_, peer)| peer.match_index)
             .map(|(identity, _)| identity);
         if let Some(heir) = heir {
-            self.send(heir, Body::TimeoutNow);
+            self.send(heir, MessageBody::TimeoutNow);
         }
     }
 }
--- a/consensus/src/node/membership.rs
+++ b/consensus/src/node/membership.rs
@@ -1,7 +1,7 @@
 //! Changes of membership: one at a time, each settled before the next.
 
-use super::{Effect, Node, Refusal, Role, Token};
-use crate::repair::{self, Change, MemberHealth, RepairPolicy, Standstill};
+use super::{Effect, Node, RequestError, Role, Token};
+use crate::repair::{self, MemberHealth, MembershipChange, NoChange, RepairPolicy};
 use crate::{Entry, EntryPayload, HardState, LogIndex, Member, Membership, NodeId};
 
 /// A learner may be so many committed entries behind when it is made a voter: it has
@@ -35,7 +35,7 @@
 
     /// A membership may change only when the one before it is committed and the
     /// leader has committed in its own term.
-    pub fn is_settled(&self) -> bool {
+    pub fn can_change_membership(&self) -> bool {
         let newest = self
             .membership_history
             .last()
@@ -49,7 +49,7 @@
             None => {
                 let payload = EntryPayload::Membership(members);
                 let entry = Entry {
-                    index: self.last() + 1,
+                    index: self.last_index() + 1,
                     term: self.hard_state.term,
                     payload,
                 };
@@ -63,24 +63,26 @@
         if self.role != Role::Leader {
             return self
                 .effects
-                .push(Effect::Refused(token, Refusal::NotLeader));
+                .push(Effect::Rejected(token, RequestError::NotLeader));
         }
         if let Some(known) = self.members.get(member.identity) {
             if *known == member {
                 return self.effects.push(Effect::ReadReady(token, self.commit));
             }
         }
-        if !self.is_settled() {
+        if !self.can_change_membership() {
             let text = "a change of membership is under way".into();
-            return self
-                .effects
-                .push(Effect::Refused(token, Refusal::Unfit(text)));
+            return self.effects.push(Effect::Rejected(
+                token,
+                RequestError::InvalidMembershipChange(text),
+            ));
         }
         if self.members.retired.contains(&member.identity) {
             let text = "this identity was retired; the node may come as a blank one".into();
-            return self
-                .effects
-                .push(Effect::Refused(token, Refusal::Unfit(text)));
+            return self.effects.push(Effect::Rejected(
+                token,
+                RequestError::InvalidMembershipChange(text),
+            ));
         }
         let mut members = self.members.clone();
         if let Some(known) = members
@@ -103,9 +105,10 @@
                     .is_some_and(|p| self.now - p.last_heard < 2 * self.timing.election_timeout_ms);
             if is_alive {
                 let text = format!("a node named {} is alive", member.name);
-                return self
-                    .effects
-                    .push(Effect::Refused(token, Refusal::Unfit(text)));
+                return self.effects.push(Effect::Rejected(
+                    token,
+                    RequestError::InvalidMembershipChange(text),
+                ));
             }
             return self.remove_member(token, old);
         }
@@ -114,13 +117,15 @@
     }
 
     pub(super) fn remove_member(&mut self, token: Token, identity: NodeId) {
-        let refuse = |text: &str| Effect::Refused(token, Refusal::Unfit(text.into()));
+        let refuse = |text: &str| {
+            Effect::Rejected(token, RequestError::InvalidMembershipChange(text.into()))
+        };
         if self.role != Role::Leader {
             return self
                 .effects
-                .push(Effect::Refused(token, Refusal::NotLeader));
+                .push(Effect::Rejected(token, RequestError::NotLeader));
         }
-        if !self.is_settled() {
+        if !self.can_change_membership() {
             return self
                 .effects
                 .push(refuse("a change of membership is under way"));
@@ -158,7 +163,7 @@
         }
         let peer = self.peers.get(&member.identity);
         let silent_ms = peer.map_or(0, |peer| self.now - peer.last_heard);
-        let is_caught_up = peer.is_some_and(|peer| peer.matched >= self.caught_up_index())
+        let is_caught_up = peer.is_some_and(|peer| peer.match_index >= self.caught_up_index())
             && silent_ms < self.timing.election_timeout_ms;
         let left_at = peer.and_then(|peer| peer.leaving_at);
         let is_leaving = left_at.is_some_and(|at| self.now - at < LEAVING_VALID_MS);
@@ -182,11 +187,11 @@
     }
 
     /// Which change of membership repair asks for, or why it asks for none.
-    pub fn next_change(&self) -> Result<Change, Standstill> {
+    pub fn next_change(&self) -> Result<MembershipChange, NoChange> {
         let policy = RepairPolicy {
             voters: self.timing.voters,
-            replace_after_ms: self.timing.replace_after_ms,
-            forget_after_ms: self.timing.forget_after_ms,
+            replace_voter_after_ms: self.timing.replace_voter_after_ms,
+            remove_learner_after_ms: self.timing.remove_learner_after_ms,
         };
         let voters = self.health_of(&self.members.voters);
         let learners = self.health_of(&self.members.learners);
@@ -195,7 +200,7 @@
 
     /// Makes the next change of membership, if the one before it is settled.
     pub(super) fn repair(&mut self) {
-        if !self.is_settled() {
+        if !self.can_change_membership() {
             return;
         }
         let Ok(change) = self.next_change() else {
@@ -212,13 +217,14 @@
         if self.role != Role::Leader {
             return self
                 .effects
-                .push(Effect::Refused(token, Refusal::NotLeader));
+                .push(Effect::Rejected(token, RequestError::NotLeader));
         }
         if identity == self.identity {
             let text = "the leader leaves only after transferring leadership".into();
-            return self
-                .effects
-                .push(Effect::Refused(token, Refusal::Unfit(text)));
+            return self.effects.push(Effect::Rejected(
+                token,
+                RequestError::InvalidMembershipChange(text),
+            ));
         }
         if let Some(peer) = self.peers.get_mut(&identity) {
             peer.leaving_at = Some(self.now);
@@ -227,13 +233,15 @@
             return self.effects.push(Effect::ReadReady(token, self.commit));
         }
         let text = "not yet: it is being replaced, or others lack what counts".into();
-        self.effects
-            .push(Effect::Refused(token, Refusal::Unfit(text)));
+        self.effects.push(Effect::Rejected(
+            token,
+            RequestError::InvalidMembershipChange(text),
+        ));
     }
 
     fn may_leave(&self, identity: NodeId) -> bool {
         if !self.members.is_voter(identity) {
-            return self.is_settled();
+            return self.can_change_membership();
         }
         !self.is_being_replaced() && self.is_held_without(identity)
     }
@@ -258,7 +266,7 @@
         let holds = |voter: &&Member| match voter.identity == self.identity {
             true => self.synced >= self.commit,
             false => self.peers.get(&voter.identity).is_some_and(|peer| {
-                peer.matched >= self.commit
+                peer.match_index >= self.commit
                     && self.now - peer.last_heard < self.timing.election_timeout_ms
             }),
         };
--- a/consensus/src/node/mod.rs
+++ b/consensus/src/node/mod.rs
@@ -5,8 +5,8 @@
 //! confirmed by a heartbeat round with a majority that began after the read.
 
 use crate::{
-    Body, Entry, EntryPayload, HardState, LogIndex, Member, Membership, Message, NodeId, Snapshot,
-    Term,
+    Entry, EntryPayload, HardState, LogIndex, Member, Membership, Message, MessageBody, NodeId,
+    Snapshot, Term,
 };
 use std::collections::{BTreeMap, VecDeque};
 
@@ -19,7 +19,7 @@
 mod types;
 
 pub use types::{
-    Effect, Input, PersistedState, Refusal, Role, SnapshotPolicy, Timing, Token, Write,
+    Effect, Input, PersistedState, RequestError, Role, SnapshotPolicy, Timing, Token, Write,
 };
 
 /// How far another node is. Invariant: `matched` is only what that node said
@@ -27,7 +27,7 @@
 #[derive(Clone, Hash)]
 struct Peer {
     next: LogIndex,
-    matched: LogIndex,
+    match_index: LogIndex,
     round: u64,
     last_heard: u64,
     /// The round in which a snapshot was sent that is on its way still, however
@@ -44,7 +44,7 @@
 /// to messages that were sent before what went out with this step, or to that.
 #[derive(Clone, Copy, Hash)]
 struct Rewind {
-    matched: LogIndex,
+    match_index: LogIndex,
     round: u64,
 }
 
@@ -142,7 +142,7 @@
         for entry in kept.entries {
             node.append_in_memory(entry);
         }
-        node.synced = node.last();
+        node.synced = node.last_index();
         node.reset_first_election_timer();
         node
     }
@@ -176,19 +176,19 @@
         &self.snapshot
     }
     /// The commit index.
-    pub fn commit(&self) -> LogIndex {
+    pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
     /// Index of the last applied entry.
-    pub fn applied(&self) -> LogIndex {
+    pub fn applied_index(&self) -> LogIndex {
         self.applied
     }
     /// Number of log entries held after the snapshot.
-    pub fn kept(&self) -> usize {
+    pub fn log_len(&self) -> usize {
         self.log.len()
     }
     /// Index of the last entry in the log, synced or not.
-    pub fn last(&self) -> LogIndex {
+    pub fn last_index(&self) -> LogIndex {
         self.log
             .back()
             .map_or(self.snapshot.index, |entry| entry.index)
@@ -205,12 +205,12 @@
     pub fn progress(&self) -> impl Iterator<Item = (NodeId, LogIndex)> + '_ {
         self.peers
             .iter()
-            .map(|(identity, peer)| (*identity, peer.matched))
+            .map(|(identity, peer)| (*identity, peer.match_index))
     }
 
     /// When time alone next changes something here: a tick before then finds
     /// nothing to do.
-    pub fn due(&self) -> u64 {
+    pub fn next_deadline(&self) -> u64 {
         let stall = self.timing.write_stall_ms;
         let stalls = self
             .writing
@@ -281,7 +281,7 @@
 
     /// Takes an entry into memory; a membership is in force from here on.
     fn append_in_memory(&mut self, entry: Entry) {
-        assert_eq!(entry.index, self.last() + 1, "the log has no gap");
+        assert_eq!(entry.index, self.last_index() + 1, "the log has no gap");
         if let EntryPayload::Membership(members) = &entry.payload {
             self.members = members.clone();
             self.membership_history.push((entry.index, members.clone()));
@@ -325,7 +325,7 @@
         self.pending.push(Write::HardState(hard_state));
     }
 
-    fn send(&mut self, to: NodeId, body: Body) {
+    fn send(&mut self, to: NodeId, body: MessageBody) {
         if to == self.identity {
             return;
         }
@@ -365,7 +365,8 @@
         {
             self.hard_state_ticket = self.ticket;
         }
-        self.writing.push_back((self.ticket, self.last(), self.now));
+        self.writing
+            .push_back((self.ticket, self.last_index(), self.now));
         let writes = std::mem::take(&mut self.pending);
         // After a failure what is written next would leave a gap before it. The
         // ticket is never synced, so nothing is sent that rests on it.
@@ -403,14 +404,17 @@
         if self.role != Role::Leader {
             return self
                 .effects
-                .push(Effect::Refused(token, Refusal::NotLeader));
+                .push(Effect::Rejected(token, RequestError::NotLeader));
         }
-        if (self.last() - self.commit) as usize >= self.timing.max_uncommitted || self.is_stalled()
+        if (self.last_index() - self.commit) as usize >= self.timing.max_uncommitted
+            || self.is_stalled()
         {
-            return self.effects.push(Effect::Refused(token, Refusal::Busy));
+            return self
+                .effects
+                .push(Effect::Rejected(token, RequestError::Busy));
         }
         let entry = Entry {
-            index: self.last() + 1,
+            index: self.last_index() + 1,
             term: self.hard_state.term,
             payload,
         };
--- a/consensus/src/node/reads.rs
+++ b/consensus/src/node/reads.rs
@@ -1,16 +1,18 @@
 //! Linearizable reads: a read index is answered after a round with a majority.
 
-use super::{Effect, Node, Refusal, Role, Token};
+use super::{Effect, Node, RequestError, Role, Token};
 
 impl Node {
     pub(super) fn read_index(&mut self, token: Token) {
         if self.role != Role::Leader {
             return self
                 .effects
-                .push(Effect::Refused(token, Refusal::NotLeader));
+                .push(Effect::Rejected(token, RequestError::NotLeader));
         }
         if self.reads.len() >= self.timing.max_uncommitted * 4 {
-            return self.effects.push(Effect::Refused(token, Refusal::Busy));
+            return self
+                .effects
+                .push(Effect::Rejected(token, RequestError::Busy));
         }
         self.reads.push_back((self.round + 1, self.commit, token));
         self.heartbeat_due = self.now;
--- a/consensus/src/node/receive.rs
+++ b/consensus/src/node/receive.rs
@@ -1,7 +1,7 @@
 //! Messages from other nodes: which are accepted, and how terms advance by them.
 
 use super::{Node, Role};
-use crate::{Body, HardState, Message};
+use crate::{HardState, Message, MessageBody};
 
 impl Node {
     pub(super) fn receive(&mut self, message: Message) {
@@ -15,7 +15,7 @@
         // A blank node follows whichever cluster admitted it, and no other.
         let is_leading = matches!(
             body,
-            Body::AppendEntries { .. } | Body::InstallSnapshot { .. }
+            MessageBody::AppendEntries { .. } | MessageBody::InstallSnapshot { .. }
         );
         let is_joining = self.hard_state.cluster == 0 && is_leading && cluster != 0;
         if to != self.identity || (cluster != self.hard_state.cluster && !is_joining) {
@@ -26,23 +26,23 @@
             .is_some_and(|at| self.now - at < self.timing.election_timeout_ms)
             || self.role == Role::Leader;
         match body {
-            Body::PreVote {
-                last_index,
-                last_term,
+            MessageBody::PreVote {
+                last_log_index,
+                last_log_term,
             } => {
                 let granted = term >= self.hard_state.term
                     && !is_steady
-                    && (last_term, last_index) >= (self.last_term(), self.last());
-                return self.send(from, Body::PreVoteResponse { granted });
+                    && (last_log_term, last_log_index) >= (self.last_term(), self.last_index());
+                return self.send(from, MessageBody::PreVoteResponse { granted });
             }
-            Body::Vote {
+            MessageBody::RequestVote {
                 is_transfer: false, ..
             } if is_steady => return,
             _ => {}
         }
         if term > self.hard_state.term || is_joining {
             // A refused pre-vote from a later term advances the term, too.
-            let is_pre_vote_grant = matches!(body, Body::PreVoteResponse { granted: true });
+            let is_pre_vote_grant = matches!(body, MessageBody::PreVoteResponse { granted: true });
             if !is_pre_vote_grant {
                 if self.role != Role::Follower {
                     self.step_down();
@@ -59,16 +59,16 @@
         if term < self.hard_state.term {
             // A pre-candidate's term may be ahead of its voters', by an election whose
             // messages were lost: a grant is valid all the same.
-            if matches!(body, Body::PreVoteResponse { granted: true })
+            if matches!(body, MessageBody::PreVoteResponse { granted: true })
                 && self.role == Role::PreCandidate
             {
                 return self.grant(from);
             }
             // The stale sender learns of the newer term from any answer.
             if is_leading {
-                let body = Body::AppendEntriesResponse {
+                let body = MessageBody::AppendEntriesResponse {
                     is_match: false,
-                    matched: self.last(),
+                    match_index: self.last_index(),
                     round: 0,
                 };
                 self.send(from, body);
@@ -76,19 +76,20 @@
             return;
         }
         match body {
-            Body::PreVote { .. } => {}
-            Body::PreVoteResponse { granted } => {
+            MessageBody::PreVote { .. } => {}
+            MessageBody::PreVoteResponse { granted } => {
                 if granted && self.role == Role::PreCandidate {
                     self.grant(from);
                 }
             }
-            Body::Vote {
-                last_index,
-                last_term,
+            MessageBody::RequestVote {
+                last_log_index,
+                last_log_term,
                 ..
             } => {
                 let is_free = self.hard_state.vote == 0 || self.hard_state.vote == from;
-                let is_behind = (last_term, last_index) < (self.last_term(), self.last());
+                let is_behind =
+                    (last_log_term, last_log_index) < (self.last_term(), self.last_index());
                 let granted = is_free && !is_behind && !self.is_stalled();
                 if granted {
                     if self.hard_state.vote == 0 {
@@ -100,37 +101,44 @@
                     }
                     self.reset_election_timer();
                 }
-                self.send(from, Body::VoteResponse { granted });
+                self.send(from, MessageBody::RequestVoteResponse { granted });
             }
-            Body::VoteResponse { granted } => {
+            MessageBody::RequestVoteResponse { granted } => {
                 if granted && self.role == Role::Candidate {
                     self.grant(from);
                 }
             }
-            Body::AppendEntries {
-                prior_index,
-                prior_term,
-                commit,
+            MessageBody::AppendEntries {
+                prev_log_index,
+                prev_log_term,
+                leader_commit,
                 round,
                 entries,
             } => {
                 self.follow(from);
-                self.handle_append_entries(from, prior_index, prior_term, commit, round, entries);
+                self.handle_append_entries(
+                    from,
+                    prev_log_index,
+                    prev_log_term,
+                    leader_commit,
+                    round,
+                    entries,
+                );
             }
-            Body::InstallSnapshot { round, snapshot } => {
+            MessageBody::InstallSnapshot { round, snapshot } => {
                 self.follow(from);
                 self.install(from, round, snapshot);
             }
-            Body::AppendEntriesResponse {
+            MessageBody::AppendEntriesResponse {
                 is_match,
-                matched,
+                match_index,
                 round,
             } => {
                 if self.role == Role::Leader {
-                    self.on_answer(from, is_match, matched, round);
+                    self.on_answer(from, is_match, match_index, round);
                 }
             }
-            Body::TimeoutNow => {
+            MessageBody::TimeoutNow => {
                 if self.members.is_voter(self.identity) && !self.is_stalled() {
                     self.campaign(true);
                 }
--- a/consensus/src/node/replication.rs
+++ b/consensus/src/node/replication.rs
@@ -1,7 +1,7 @@
 //! Replication of the log: entries out, acknowledgements in, the commit index.
 
-use super::{Effect, Node, Peer, Refusal, Rewind, Role};
-use crate::{Body, Entry, EntryPayload, LogIndex, NodeId, Term};
+use super::{Effect, Node, Peer, RequestError, Rewind, Role};
+use crate::{Entry, EntryPayload, LogIndex, MessageBody, NodeId, Term};
 
 /// A message takes no further entry once its commands have so many bytes. One
 /// entry always fits.
@@ -11,7 +11,7 @@
 pub(super) fn command_bytes(entry: &Entry) -> usize {
     match &entry.payload {
         EntryPayload::Command(bytes) => bytes.len(),
-        EntryPayload::Blank | EntryPayload::Membership(_) => 0,
+        EntryPayload::Noop | EntryPayload::Membership(_) => 0,
     }
 }
 
@@ -33,35 +33,35 @@
     }
 
     pub(super) fn replicate_to(&mut self, to: NodeId) {
-        let (last, now, round) = (self.last(), self.now, self.round);
+        let (last, now, round) = (self.last_index(), self.now, self.round);
         let peer = self.peers.entry(to).or_insert(Peer {
             next: last + 1,
-            matched: 0,
+            match_index: 0,
             round: 0,
             last_heard: now,
             snapshot_sent: None,
             rewind: None,
             leaving_at: None,
         });
-        let prior_index = peer.next - 1;
-        let Some(prior_term) = self.term_at(prior_index) else {
+        let prev_log_index = peer.next - 1;
+        let Some(prev_log_term) = self.term_at(prev_log_index) else {
             let peer = self.peers.get_mut(&to).expect("entered above");
             if peer.snapshot_sent.is_none() {
                 let snapshot = self.snapshot.clone();
                 peer.snapshot_sent = Some(round);
-                self.send(to, Body::InstallSnapshot { round, snapshot });
+                self.send(to, MessageBody::InstallSnapshot { round, snapshot });
             } else {
                 // The snapshot is on its way; the heartbeat keeps the peer
                 // from campaigning meanwhile.
-                let (prior_index, prior_term) = (last, self.last_term());
+                let (prev_log_index, prev_log_term) = (last, self.last_term());
                 let entries = Vec::new();
-                let commit = 0;
+                let leader_commit = 0;
                 self.send(
                     to,
-                    Body::AppendEntries {
-                        prior_index,
-                        prior_term,
-                        commit,
+                    MessageBody::AppendEntries {
+                        prev_log_index,
+                        prev_log_term,
+                        leader_commit,
                         round,
                         entries,
                     },
@@ -70,7 +70,7 @@
             return;
         };
         let first = self.log.front().map_or(0, |entry| entry.index);
-        let from = (prior_index + 1).saturating_sub(first) as usize;
+        let from = (prev_log_index + 1).saturating_sub(first) as usize;
         let mut size = 0;
         let entries: Vec<Entry> = self
             .log
@@ -87,13 +87,13 @@
         if let Some(entry) = entries.last() {
             self.peers.get_mut(&to).expect("entered above").next = entry.index + 1;
         }
-        let commit = self.commit;
+        let leader_commit = self.commit;
         self.send(
             to,
-            Body::AppendEntries {
-                prior_index,
-                prior_term,
-                commit,
+            MessageBody::AppendEntries {
+                prev_log_index,
+                prev_log_term,
+                leader_commit,
                 round,
                 entries,
             },
@@ -103,67 +103,68 @@
     pub(super) fn handle_append_entries(
         &mut self,
         from: NodeId,
-        prior_index: LogIndex,
-        prior_term: Term,
-        commit: LogIndex,
+        prev_log_index: LogIndex,
+        prev_log_term: Term,
+        leader_commit: LogIndex,
         round: u64,
         entries: Vec<Entry>,
     ) {
         let is_whole = entries
             .iter()
-            .zip(prior_index + 1..)
+            .zip(prev_log_index + 1..)
             .all(|(e, index)| e.index == index);
         if !is_whole {
             return;
         }
         // What the snapshot covers is known to be committed; skip over it.
         let floor = self.snapshot.index;
-        let is_known = prior_index < floor || self.term_at(prior_index) == Some(prior_term);
+        let is_known =
+            prev_log_index < floor || self.term_at(prev_log_index) == Some(prev_log_term);
         if !is_known {
-            let matched = self.last_before_conflict(prior_index).max(self.commit);
+            let match_index = self.last_before_conflict(prev_log_index).max(self.commit);
             return self.send(
                 from,
-                Body::AppendEntriesResponse {
+                MessageBody::AppendEntriesResponse {
                     is_match: false,
-                    matched,
+                    match_index,
                     round,
                 },
             );
         }
-        let reach = entries.last().map_or(prior_index, |entry| entry.index);
+        let reach = entries.last().map_or(prev_log_index, |entry| entry.index);
         for entry in entries {
             if entry.index <= floor || self.term_at(entry.index) == Some(entry.term) {
                 continue;
             }
-            if entry.index <= self.last() {
+            if entry.index <= self.last_index() {
                 self.cut(entry.index);
             }
             self.append(entry);
         }
-        self.commit = self.commit.max(commit.min(reach));
-        let matched = reach.max(floor).min(self.synced);
+        self.commit = self.commit.max(leader_commit.min(reach));
+        let match_index = reach.max(floor).min(self.synced);
         self.send(
             from,
-            Body::AppendEntriesResponse {
+            MessageBody::AppendEntriesResponse {
                 is_match: true,
-                matched,
+                match_index,
                 round,
             },
         );
     }
 
-    /// Where the leader tries next after a mismatch at `prior_index`: before all
+    /// Where the leader tries next after a mismatch at `prev_log_index`: before all
     /// entries of the term that conflicts there, so that a long branch costs one
     /// step for each of its terms and not one for each entry.
-    fn last_before_conflict(&self, prior_index: LogIndex) -> LogIndex {
-        match self.term_at(prior_index) {
+    fn last_before_conflict(&self, prev_log_index: LogIndex) -> LogIndex {
+        match self.term_at(prev_log_index) {
             Some(conflict) => {
                 let place = self.log.partition_point(|entry| entry.term < conflict);
                 self.log
                     .get(place)
                     .map_or(self.snapshot.index, |entry| entry.index - 1)
             }
-            None => self.last(),
+            None => self.last_index(),
         }
     }
 
@@ -171,10 +172,10 @@
         &mut self,
         from: NodeId,
         is_match: bool,
-        matched: LogIndex,
+        match_index: LogIndex,
         round: u64,
     ) {
-        let (now, last) = (self.now, self.last());
+        let (now, last) = (self.now, self.last_index());
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
@@ -182,8 +183,8 @@
         let is_newest = round >= peer.round;
         peer.round = peer.round.max(round);
         let must_send = match is_match {
-            true => self.on_match(from, matched.min(last)),
-            false => self.on_mismatch(from, matched.min(last), round, is_newest),
+            true => self.on_match(from, match_index.min(last)),
+            false => self.on_mismatch(from, match_index.min(last), round, is_newest),
         };
         if must_send {
             self.replicate_to(from);
@@ -192,15 +193,15 @@
     }
 
     /// Whether something is to be sent at once.
-    fn on_match(&mut self, from: NodeId, matched: LogIndex) -> bool {
-        let (last, round) = (self.last(), self.round);
+    fn on_match(&mut self, from: NodeId, match_index: LogIndex) -> bool {
+        let (last, round) = (self.last_index(), self.round);
         let peer = self
             .peers
             .get_mut(&from)
             .expect("its answer is being looked at");
-        peer.matched = peer.matched.max(matched);
-        peer.next = peer.next.max(peer.matched + 1);
-        let (next, matched) = (peer.next, peer.matched);
+        peer.match_index = peer.match_index.max(match_index);
+        peer.next = peer.next.max(peer.match_index + 1);
+        let (next, match_index) = (peer.next, peer.match_index);
         let is_in_log = self.term_at(next - 1).is_some();
         let peer = self
             .peers
@@ -213,7 +214,7 @@
             }
             peer.snapshot_sent = None;
             // Heartbeats that were on their way meanwhile did not match.
-            peer.rewind = Some(Rewind { matched, round });
+            peer.rewind = Some(Rewind { match_index, round });
         }
         next <= last
     }
@@ -224,7 +225,7 @@
     fn on_mismatch(
         &mut self,
         from: NodeId,
-        matched: LogIndex,
+        match_index: LogIndex,
         round: u64,
         is_newest: bool,
     ) -> bool {
@@ -235,18 +236,18 @@
             .expect("its answer is being looked at");
         let is_late = peer
             .rewind
-            .is_some_and(|last| round <= last.round && matched >= last.matched);
+            .is_some_and(|last| round <= last.round && match_index >= last.match_index);
         if is_late {
             return false;
         }
         peer.rewind = Some(Rewind {
-            matched,
+            match_index,
             round: own_round,
         });
         // A peer that denies what it claimed before may have an older disk. An answer
         // that was passed by a newer one may not lead back so far.
-        let floor = if is_newest { 0 } else { peer.matched };
-        peer.next = matched.max(floor) + 1;
+        let floor = if is_newest { 0 } else { peer.match_index };
+        peer.next = match_index.max(floor) + 1;
         // An answer to something that was sent after the snapshot: that was lost, or
         // else the peer would be past it.
         peer.snapshot_sent = peer.snapshot_sent.filter(|sent| round <= *sent);
@@ -274,13 +275,13 @@
                 // Nothing past the commit is claimed without the leader's own
                 // word for it, which `handle_append_entries` has checked up to the
                 // last append.
-                let matched = self.synced;
-                let claim = self.claim(matched);
+                let match_index = self.synced;
+                let claim = self.claim(match_index);
                 self.send(
                     leader,
-                    Body::AppendEntriesResponse {
+                    MessageBody::AppendEntriesResponse {
                         is_match: true,
-                        matched: claim,
+                        match_index: claim,
                         round: 0,
                     },
                 );
@@ -310,7 +311,7 @@
                     false => self
                         .peers
                         .get(&voter.identity)
-                        .map_or(0, |peer| peer.matched),
+                        .map_or(0, |peer| peer.match_index),
                 })
                 .collect();
             marks.sort_unstable_by(|a, b| b.cmp(a));
@@ -328,7 +329,8 @@
             let token = match self.waiting.remove(&index) {
                 Some((term, token)) if term == entry.term => Some(token),
                 Some((_, token)) => {
-                    self.effects.push(Effect::Refused(token, Refusal::Lost));
+                    self.effects
+                        .push(Effect::Rejected(token, RequestError::LeadershipLost));
                     None
                 }
                 None => None,
--- a/consensus/src/node/snapshot.rs
+++ b/consensus/src/node/snapshot.rs
@@ -2,7 +2,7 @@
 
 use super::replication::command_bytes;
 use super::{Effect, Node, SnapshotPolicy, Write};
-use crate::{Body, LogIndex, NodeId, Snapshot};
+use crate::{LogIndex, MessageBody, NodeId, Snapshot};
 
 impl Node {
     /// Whether so much was applied since the last snapshot that one is to be taken.
@@ -34,12 +34,12 @@
             self.pending.push(Write::InstallSnapshot(snapshot.clone()));
             self.effects.push(Effect::Restore(snapshot));
         }
-        let matched = self.synced.min(self.commit);
+        let match_index = self.synced.min(self.commit);
         self.send(
             from,
-            Body::AppendEntriesResponse {
+            MessageBody::AppendEntriesResponse {
                 is_match: true,
-                matched,
+                match_index,
                 round,
             },
         );
--- a/consensus/src/node/types.rs
+++ b/consensus/src/node/types.rs
@@ -20,9 +20,9 @@
     /// Most entries in one message.
     pub max_batch: usize,
     /// A voter silent for this long is replaced where a learner is ready.
-    pub replace_after_ms: u64,
+    pub replace_voter_after_ms: u64,
     /// A learner silent for this long leaves the list of members.
-    pub forget_after_ms: u64,
+    pub remove_learner_after_ms: u64,
 }
 
 impl Default for Timing {
@@ -34,8 +34,8 @@
             voters: 5,
             max_uncommitted: 512,
             max_batch: 256,
-            replace_after_ms: 2_000,
-            forget_after_ms: 60_000,
+            replace_voter_after_ms: 2_000,
+            remove_learner_after_ms: 60_000,
         }
     }
 }
@@ -73,7 +73,7 @@
     /// Removes a member and retires its identity.
     RemoveMember(Token, NodeId),
     /// This member is about to stop. Answered by `ReadReady` once nothing is lost
-    /// with it, by `Refusal::Unfit` while it is to wait and ask again.
+    /// with it, by `MembershipChangeError::NotReplaced` while it is to wait and ask again.
     Leave(Token, NodeId),
     /// Asks for a read index. Answered by `ReadReady`.
     ReadIndex(Token),
@@ -83,19 +83,19 @@
     SnapshotTaken(LogIndex, Vec<u8>),
 }
 
-/// Why a request was refused.
+/// Why a request was rejected.
 #[derive(Debug, Clone, PartialEq, Hash)]
-pub enum Refusal {
+pub enum RequestError {
     /// This node is not the leader.
     NotLeader,
     /// Too many requests are open, or the disk is stalled; try again later.
     Busy,
     /// A change of membership is under way, or this one is not possible; the text says
     /// why.
-    Unfit(String),
+    InvalidMembershipChange(String),
     /// Leadership was lost before the entry was known to be committed; it may or may
     /// not be.
-    Lost,
+    LeadershipLost,
 }
 
 /// One change of what is on disk.
@@ -128,8 +128,8 @@
     /// Leadership was confirmed after the read began: once the state machine has
     /// applied this read index, the read is linearizable.
     ReadReady(Token, LogIndex),
-    /// The request with this token was refused.
-    Refused(Token, Refusal),
+    /// The request with this token was rejected.
+    Rejected(Token, RequestError),
 }
 
 /// A node's role in the current term.
--- a/consensus/src/repair.rs
+++ b/consensus/src/repair.rs
@@ -29,36 +29,36 @@
     /// How many voters there should be.
     pub voters: usize,
     /// A voter that is silent for this long is replaced where a learner is ready.
-    pub replace_after_ms: u64,
+    pub replace_voter_after_ms: u64,
     /// A learner that is silent for this long leaves the list.
-    pub forget_after_ms: u64,
+    pub remove_learner_after_ms: u64,
 }
 
 /// One change of membership.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Change {
+pub enum MembershipChange {
     /// A learner becomes a voter.
-    Promote(NodeId),
+    PromoteLearner(NodeId),
     /// A voter becomes a learner; it keeps its identity and its disk.
-    Demote(NodeId),
+    DemoteVoter(NodeId),
     /// A learner leaves the list; it may be added again.
-    Forget(NodeId),
+    RemoveLearner(NodeId),
 }
 
 /// Why no change is made.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standstill {
+pub enum NoChange {
     /// Nothing is to be repaired.
-    Complete,
+    NothingToRepair,
     /// Voters are missing or to be replaced, and no learner has caught up.
     NoReadyLearner,
 }
 
-impl std::fmt::Display for Standstill {
+impl std::fmt::Display for NoChange {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Standstill::Complete => "nothing to repair",
-            Standstill::NoReadyLearner => "waits for a learner that has caught up",
+            NoChange::NothingToRepair => "nothing to repair",
+            NoChange::NoReadyLearner => "waits for a learner that has caught up",
         })
     }
 }
@@ -69,21 +69,23 @@
     learners: &[MemberHealth],
     leader: NodeId,
     policy: &RepairPolicy,
-) -> Result<Change, Standstill> {
+) -> Result<MembershipChange, NoChange> {
     let outgoing = voter_to_replace(voters, leader, policy);
     if voters.len() > policy.voters {
         let demoted = outgoing.or_else(|| most_dispensable(voters, leader));
-        return demoted.map(Change::Demote).ok_or(Standstill::Complete);
+        return demoted
+            .map(MembershipChange::DemoteVoter)
+            .ok_or(NoChange::NothingToRepair);
     }
     if voters.len() < policy.voters || outgoing.is_some() {
         return best_learner(voters, learners, outgoing)
-            .map(Change::Promote)
-            .ok_or(Standstill::NoReadyLearner);
+            .map(MembershipChange::PromoteLearner)
+            .ok_or(NoChange::NoReadyLearner);
     }
     better_spread(voters, learners, leader)
-        .map(Change::Promote)
-        .or_else(|| learner_to_forget(learners, policy).map(Change::Forget))
-        .ok_or(Standstill::Complete)
+        .map(MembershipChange::PromoteLearner)
+        .or_else(|| learner_to_forget(learners, policy).map(MembershipChange::RemoveLearner))
+        .ok_or(NoChange::NothingToRepair)
 }
 
 /// The voter that is silent for longest past the bound, else one that is leaving.
@@ -98,7 +100,7 @@
             .filter(|voter| voter.member.identity != leader)
     };
     let silent = others()
-        .filter(|voter| voter.silent_ms >= policy.replace_after_ms)
+        .filter(|voter| voter.silent_ms >= policy.replace_voter_after_ms)
         .max_by_key(|voter| voter.silent_ms);
     let leaving = || others().find(|voter| voter.is_leaving);
     silent.or_else(leaving).map(|voter| voter.member.identity)
@@ -165,7 +167,7 @@
 fn learner_to_forget(learners: &[MemberHealth], policy: &RepairPolicy) -> Option<NodeId> {
     let gone = learners
         .iter()
-        .filter(|learner| learner.silent_ms >= policy.forget_after_ms);
+        .filter(|learner| learner.silent_ms >= policy.remove_learner_after_ms);
     gone.max_by_key(|learner| learner.silent_ms)
         .map(|learner| learner.member.identity)
 }
--- a/consensus/src/wal.rs
+++ b/consensus/src/wal.rs
@@ -4,17 +4,17 @@
 //! of the last segment is cut away; damage anywhere else stops the node, since
 //! what was synced must not quietly go missing.
 
+use crate::codec::{from_bytes, to_bytes};
 use crate::node::{PersistedState, Write};
-use crate::pack::{packed, unpacked};
 use crate::{Entry, HardState, LogIndex, Snapshot, Term};
 use binrw::binrw;
 use std::fmt;
 use std::io;
 
 /// The disk as this package needs it. Invariant: contents that `sync` returned
-/// for are there after a loss of power, and so are the names that `sync_folder`
+/// for are there after a loss of power, and so are the names that `sync_directory`
 /// returned for; of anything else, each piece may be there or not by itself.
-pub trait Files: Send {
+pub trait LogStorage: Send {
     /// Names of all files in the folder.
     fn list(&self) -> io::Result<Vec<String>>;
     /// The whole content of a file.
@@ -24,13 +24,13 @@
     /// Makes a file's content durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
     /// Truncates a file to this length.
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()>;
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Renames a file, replacing any file that has the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
     /// Makes the creation, renaming and removal of files durable.
-    fn sync_folder(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
 /// Why a folder can't be used as it is.
@@ -70,7 +70,7 @@
 const PICTURE: &[u8; 4] = b"RPPC";
 /// The format of both files, of the state machine's snapshot within, and of what
 /// its entries mean. A reader refuses any other.
-pub const FORMAT: u16 = 4;
+pub const FORMAT_VERSION: u16 = 4;
 const HEAD: usize = 6;
 const TURN: u64 = 4 << 20;
 const RECORD_CAP: usize = 64 << 20;
@@ -79,7 +79,7 @@
 /// segments; only that one is written; each begins with the hard state in force;
 /// `spans` holds the older ones with the last index that each may contain; what
 /// lies before `size` in the highest one was synced without an error.
-pub struct WriteAheadLog<F: Files> {
+pub struct WriteAheadLog<F: LogStorage> {
     files: F,
     number: u64,
     size: u64,
@@ -123,7 +123,7 @@
 
 fn head(magic: &[u8; 4]) -> Vec<u8> {
     let mut bytes = magic.to_vec();
-    bytes.extend_from_slice(&FORMAT.to_be_bytes());
+    bytes.extend_from_slice(&FORMAT_VERSION.to_be_bytes());
     bytes
 }
 
@@ -137,9 +137,9 @@
         return Err(damage("this is not a file of rushport's".into()));
     }
     match u16::from_be_bytes([bytes[4], bytes[5]]) {
-        FORMAT => Ok(()),
+        FORMAT_VERSION => Ok(()),
         other => Err(damage(format!(
-            "its format is epoch {other}, and this build reads epoch {FORMAT} only"
+            "its format is epoch {other}, and this build reads epoch {FORMAT_VERSION} only"
         ))),
     }
 }
@@ -153,7 +153,7 @@
     numbers
 }
 
-impl<F: Files> WriteAheadLog<F> {
+impl<F: LogStorage> WriteAheadLog<F> {
     /// Reads a folder back and begins a new segment in it.
     pub fn open(mut files: F) -> anyhow::Result<(WriteAheadLog<F>, PersistedState)> {
         let names = files.list()?;
@@ -214,14 +214,14 @@
         }
         self.number += 1;
         let mut bytes = head(SEGMENT);
-        bytes.extend(framed(&packed(&Record::HardState(self.hard_state))));
+        bytes.extend(framed(&to_bytes(&Record::HardState(self.hard_state))));
         if let Some((index, term)) = reset {
-            bytes.extend(framed(&packed(&Record::Reset(index, term))));
+            bytes.extend(framed(&to_bytes(&Record::Reset(index, term))));
         }
         self.size = 0;
         self.files.append(&segment(self.number), &bytes)?;
         self.files.sync(&segment(self.number))?;
-        self.files.sync_folder()?;
+        self.files.sync_directory()?;
         self.size = bytes.len() as u64;
         Ok(())
     }
@@ -229,13 +229,13 @@
     /// After a failed write or sync: cuts off all that is not known to be on the
     /// disk, and reads back what is, as a restart would. While the disk takes
     /// nothing this fails, and may be tried again.
-    pub fn reopened(&mut self) -> anyhow::Result<(WriteAheadLog<F>, PersistedState)>
+    pub fn reopen(&mut self) -> anyhow::Result<(WriteAheadLog<F>, PersistedState)>
     where
         F: Clone,
     {
         let name = segment(self.number);
         if self.files.list()?.contains(&name) {
-            self.files.cut(&name, self.size)?;
+            self.files.truncate(&name, self.size)?;
             self.files.sync(&name)?;
         }
         WriteAheadLog::open(self.files.clone())
@@ -249,15 +249,15 @@
             match write {
                 Write::HardState(hard_state) => {
                     self.hard_state = *hard_state;
-                    bytes.extend(framed(&packed(&Record::HardState(*hard_state))));
+                    bytes.extend(framed(&to_bytes(&Record::HardState(*hard_state))));
                 }
                 Write::Truncate(from) => {
                     self.last = self.last.min(from - 1);
-                    bytes.extend(framed(&packed(&Record::Cut(*from))));
+                    bytes.extend(framed(&to_bytes(&Record::Cut(*from))));
                 }
                 Write::Entry(entry) => {
                     self.last = entry.index;
-                    bytes.extend(framed(&packed(&Record::Entry(entry.clone()))));
+                    bytes.extend(framed(&to_bytes(&Record::Entry(entry.clone()))));
                 }
                 Write::InstallSnapshot(snapshot) => {
                     self.put(&std::mem::take(&mut bytes))?;
@@ -296,11 +296,11 @@
         let name = picture_name(snapshot.index);
         let part = format!("{name}.part");
         let mut bytes = head(PICTURE);
-        bytes.extend(framed(&packed(snapshot)));
+        bytes.extend(framed(&to_bytes(snapshot)));
         self.files.append(&part, &bytes)?;
         self.files.sync(&part)?;
         self.files.rename(&part, &name)?;
-        self.files.sync_folder()?;
+        self.files.sync_directory()?;
         self.snapshots.push(snapshot.index);
         Ok(())
     }
@@ -316,14 +316,14 @@
         // branch that the later one made void.
         while self.spans.first().is_some_and(|(_, last)| *last <= index) {
             self.files.remove(&segment(self.spans[0].0))?;
-            self.files.sync_folder()?;
+            self.files.sync_directory()?;
             self.spans.remove(0);
         }
         Ok(())
     }
 }
 
-fn read_picture(files: &impl Files, name: &str) -> anyhow::Result<Snapshot> {
+fn read_picture(files: &impl LogStorage, name: &str) -> anyhow::Result<Snapshot> {
     let bytes = files.read(name)?;
     check_head(name, &bytes, PICTURE)?;
     let damage = |text: String| Damage {
@@ -335,12 +335,12 @@
     if end != bytes.len() {
         return Err(damage("something follows the snapshot".into()).into());
     }
-    Ok(unpacked(body).map_err(damage)?)
+    Ok(from_bytes(body).map_err(damage)?)
 }
 
 /// Takes a segment in. False: it was not even begun, and was removed.
 fn replay(
-    files: &mut impl Files,
+    files: &mut impl LogStorage,
     number: u64,
     is_last: bool,
     kept: &mut PersistedState,
@@ -352,7 +352,7 @@
     if is_last && is_blank {
         // For good before another is begun: one that comes back would be damage then.
         files.remove(&name)?;
-        files.sync_folder()?;
+        files.sync_directory()?;
         return Ok(false);
     }
     check_head(&name, &bytes, SEGMENT)?;
@@ -372,12 +372,12 @@
                 if !is_torn {
                     return Err(damage(text.into()).into());
                 }
-                files.cut(&name, at as u64)?;
+                files.truncate(&name, at as u64)?;
                 files.sync(&name)?;
                 return Ok(true);
             }
         };
-        match unpacked::<Record>(body).map_err(damage)? {
+        match from_bytes::<Record>(body).map_err(damage)? {
             Record::HardState(hard_state) => kept.hard_state = hard_state,
             Record::Cut(from) => kept.entries.retain(|entry| entry.index < from),
             Record::Reset(..) => kept.entries.clear(),
@@ -407,19 +407,19 @@
 
 /// A folder on a real disk.
 #[derive(Clone)]
-pub struct Folder {
+pub struct DiskStorage {
     path: std::path::PathBuf,
 }
 
-impl Folder {
+impl DiskStorage {
     /// Opens the folder at `path`, which is created if it is missing.
-    pub fn open(path: &std::path::Path) -> io::Result<Folder> {
+    pub fn open(path: &std::path::Path) -> io::Result<DiskStorage> {
         std::fs::create_dir_all(path)?;
-        Ok(Folder { path: path.into() })
+        Ok(DiskStorage { path: path.into() })
     }
 }
 
-impl Files for Folder {
+impl LogStorage for DiskStorage {
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
@@ -445,7 +445,7 @@
         std::fs::File::open(self.path.join(name))?.sync_data()
     }
 
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         std::fs::OpenOptions::new()
             .write(true)
             .open(self.path.join(name))?
@@ -460,7 +460,7 @@
         std::fs::remove_file(self.path.join(name))
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         std::fs::File::open(&self.path)?.sync_all()
     }
 }
--- a/consensus/tests/back.rs
+++ b/consensus/tests/back.rs
@@ -1,7 +1,7 @@
 //! A node that comes back with a log that goes further than it.
 
 use consensus::node::{Effect, Input, Node, PersistedState, Role, Timing};
-use consensus::{Body, Entry, EntryPayload, HardState, Member, Membership, Message};
+use consensus::{Entry, EntryPayload, HardState, Member, Membership, Message, MessageBody};
 
 const CLUSTER: u64 = 7;
 
@@ -12,7 +12,7 @@
         region: "north".into(),
         zone: "north-a".into(),
         address: String::new(),
-        desk: String::new(),
+        operator_address: String::new(),
     }
 }
 
@@ -70,7 +70,7 @@
         now += 50;
         step(&mut node, now, Input::Tick);
     }
-    let heard = |term: u64, body: Body| {
+    let heard = |term: u64, body: MessageBody| {
         Input::Received(Message {
             from: 2,
             to: 1,
@@ -82,17 +82,17 @@
     step(
         &mut node,
         now,
-        heard(3, Body::PreVoteResponse { granted: true }),
+        heard(3, MessageBody::PreVoteResponse { granted: true }),
     );
     step(
         &mut node,
         now,
-        heard(4, Body::VoteResponse { granted: true }),
+        heard(4, MessageBody::RequestVoteResponse { granted: true }),
     );
     assert_eq!(node.role(), Role::Leader);
-    let answer = Body::AppendEntriesResponse {
+    let answer = MessageBody::AppendEntriesResponse {
         is_match: true,
-        matched: 5,
+        match_index: 5,
         round: 1,
     };
     assert_eq!(
--- a/consensus/tests/catching_up.rs
+++ b/consensus/tests/catching_up.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use consensus::node::{Input, Role};
-use consensus::{Body, Message};
+use consensus::{Message, MessageBody};
 use support::cluster::{Cluster, Conditions};
 use support::traffic::Traffic;
 
@@ -59,13 +59,13 @@
         to: cluster.machines[at].member.identity,
         cluster: node.cluster(),
         term: node.term(),
-        body: Body::TimeoutNow,
+        body: MessageBody::TimeoutNow,
     };
     let acknowledged = cluster.acknowledged;
     cluster.step(at, Input::Received(message));
     let took = cluster.run_until(2_000, |cluster| cluster.settled_leader() == Some(at));
     assert!(took.is_some(), "node {at} leads");
-    let applied = cluster.node(at).expect("it runs").applied();
+    let applied = cluster.node(at).expect("it runs").applied_index();
     assert!(
         applied >= acknowledged,
         "it leads with {applied}, and {acknowledged} was there"
@@ -114,7 +114,7 @@
                 let identity = cluster.machines[at].member.identity;
                 let is_voter = |cluster: &Cluster| {
                     let node = cluster.node(at).expect("it runs");
-                    node.is_settled() && node.members().is_voter(identity)
+                    node.can_change_membership() && node.members().is_voter(identity)
                 };
                 let took = cluster.run_until(4_000, is_voter);
                 let traffic = cluster.traffic[at];
@@ -147,9 +147,9 @@
                     .settled_leader()
                     .and_then(|leader| cluster.node(leader));
                 let identity = cluster.machines[at].member.identity;
-                let matched = leader
+                let match_index = leader
                     .and_then(|leader| leader.progress().find(|(known, _)| *known == identity));
-                matched.is_some_and(|(_, matched)| matched >= cluster.acknowledged)
+                match_index.is_some_and(|(_, match_index)| match_index >= cluster.acknowledged)
                     && cluster.is_current(at)
             };
             // A write under way, and a disk's next try, come first.
@@ -319,7 +319,7 @@
         });
         assert!(took.is_some(), "seed {seed}: three of five go on");
         let now = cluster.settled_leader().expect("one leads");
-        assert!(cluster.node(now).expect("it runs").applied() >= acknowledged);
+        assert!(cluster.node(now).expect("it runs").applied_index() >= acknowledged);
         cluster.read_index();
         cluster.run(1_000);
         assert_eq!(
@@ -372,7 +372,9 @@
         cluster.propose_now();
     }
     cluster.run(10);
-    assert!(cluster.node(former).is_some_and(|node| node.last() > 400));
+    assert!(cluster
+        .node(former)
+        .is_some_and(|node| node.last_index() > 400));
     cluster.crash(former);
     let elected = cluster.run_until(4_000, |cluster| cluster.settled_leader().is_some());
     assert!(elected.is_some(), "the others elect one");
@@ -505,7 +507,7 @@
             let has_all = |at| {
                 cluster
                     .node(at)
-                    .is_some_and(|node| node.applied() >= acknowledged)
+                    .is_some_and(|node| node.applied_index() >= acknowledged)
             };
             cluster.settled_leader().is_some() && (0..5).all(has_all)
         };
--- a/consensus/tests/common/mod.rs
+++ b/consensus/tests/common/mod.rs
@@ -55,7 +55,7 @@
         region: format!("region-{}", at % 3),
         zone: format!("zone-{}", at % 3),
         address: format!("10.0.0.{at}:1"),
-        desk: String::new(),
+        operator_address: String::new(),
     }
 }
 
@@ -150,7 +150,7 @@
                 let machine = &self.machines[at];
                 let Some(node) = &machine.node else { continue };
                 // What `due` promises: before it, a beat finds nothing to do.
-                let is_early = machine.is_calm && node.due() > self.now;
+                let is_early = machine.is_calm && node.next_deadline() > self.now;
                 let before = self.order;
                 self.step(at, Input::Tick);
                 assert!(
@@ -291,7 +291,7 @@
                 .any(|m| m.member.identity == identity && m.node.is_some())
         };
         let members = node.members();
-        node.is_settled()
+        node.can_change_membership()
             && members.voters.len() == voters
             && members.voters.iter().all(|voter| is_up(voter.identity))
     }
@@ -302,7 +302,7 @@
             let Some(node) = &self.machines[at].node else {
                 continue;
             };
-            let applied = node.applied();
+            let applied = node.applied_index();
             if applied >= node.snapshot().index + every {
                 self.step(at, Input::SnapshotTaken(applied, state.to_vec()));
             }
--- a/consensus/tests/cut_leader/cluster.rs
+++ b/consensus/tests/cut_leader/cluster.rs
@@ -19,7 +19,7 @@
         region: "north".into(),
         zone: format!("zone-{identity}"),
         address: String::new(),
-        desk: String::new(),
+        operator_address: String::new(),
     }
 }
 
@@ -200,7 +200,7 @@
                     Effect::Send(message) => self.send(message),
                     Effect::Apply(entry, token) => self.apply(entry, token),
                     Effect::ReadReady(token, index) => self.read_ready(token, index),
-                    Effect::Refused(token, _) => {
+                    Effect::Rejected(token, _) => {
                         self.refused.insert(token);
                     }
                     Effect::Restore(_) => {}
@@ -324,7 +324,7 @@
         self.run(ELECTED);
         assert!(self.done.contains(&token), "a healed cluster takes changes");
         for identity in self.identities() {
-            let applied = self.node(identity).applied();
+            let applied = self.node(identity).applied_index();
             assert!(
                 applied >= self.acknowledged,
                 "node {identity} has {applied}"
--- a/consensus/tests/model/actions.rs
+++ b/consensus/tests/model/actions.rs
@@ -1,7 +1,7 @@
 //! What may happen next, and what comes of it.
 
 use consensus::node::{Input, Role};
-use consensus::{Body, Message, NodeId};
+use consensus::{Message, MessageBody, NodeId};
 use std::fmt::{self, Debug};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::Arc;
@@ -148,7 +148,7 @@
         return;
     };
     let is_call = state.grain == Grain::Calls;
-    let is_vote = matches!(message.body, Body::VoteResponse { .. });
+    let is_vote = matches!(message.body, MessageBody::RequestVoteResponse { .. });
     if is_call && message.term < receiver.node.term() && !is_vote {
         return;
     }
@@ -190,7 +190,7 @@
     if left.disks_lost > 0 && server.disk.hard_state.cluster != 0 {
         actions.push(Action::LoseDisk(at));
     }
-    if left.snapshots > 0 && server.node.applied() > server.node.snapshot().index {
+    if left.snapshots > 0 && server.node.applied_index() > server.node.snapshot().index {
         actions.push(Action::TakeSnapshot(at));
     }
     if left.foundings > 0 && at == FIRST_SEED && server.node.cluster() == 0 {
@@ -200,7 +200,7 @@
         leader_actions(state, server, actions);
     } else if left.campaigns > 0
         && server.node.members().is_voter(at)
-        && server.node.due() <= state.now
+        && server.node.next_deadline() <= state.now
     {
         actions.push(Action::Tick(at));
     }
@@ -313,7 +313,8 @@
             Action::TakeSnapshot(at) => {
                 self.left.snapshots -= 1;
                 let server = &self.servers[self.at(*at)];
-                let taken = Input::SnapshotTaken(server.node.applied(), server.machine.clone());
+                let taken =
+                    Input::SnapshotTaken(server.node.applied_index(), server.machine.clone());
                 self.step(self.at(*at), taken)
             }
             Action::Bootstrap(at) => {
@@ -397,6 +398,6 @@
     }
 }
 
-fn is_pre_vote(body: &Body) -> bool {
-    matches!(body, Body::PreVote { .. })
+fn is_pre_vote(body: &MessageBody) -> bool {
+    matches!(body, MessageBody::PreVote { .. })
 }
--- a/consensus/tests/model/cluster.rs
+++ b/consensus/tests/model/cluster.rs
@@ -1,7 +1,7 @@
 //! A state of the model: servers, the network between them, and the history.
 
 use consensus::node::{Effect, Input, PersistedState, Role, Timing};
-use consensus::{Body, Entry, EntryPayload, HardState, Member, Message, NodeId};
+use consensus::{Entry, EntryPayload, HardState, Member, Message, MessageBody, NodeId};
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 use std::mem::discriminant;
@@ -36,7 +36,7 @@
         region: String::new(),
         zone: format!("z{}", name % 3),
         address: String::new(),
-        desk: String::new(),
+        operator_address: String::new(),
     }
 }
 
@@ -87,13 +87,13 @@
     hasher.finish()
 }
 
-pub fn is_request(body: &Body) -> bool {
+pub fn is_request(body: &MessageBody) -> bool {
     matches!(
         body,
-        Body::PreVote { .. }
-            | Body::Vote { .. }
-            | Body::AppendEntries { .. }
-            | Body::InstallSnapshot { .. }
+        MessageBody::PreVote { .. }
+            | MessageBody::RequestVote { .. }
+            | MessageBody::AppendEntries { .. }
+            | MessageBody::InstallSnapshot { .. }
     )
 }
 
@@ -246,7 +246,7 @@
                     Arc::make_mut(&mut self.history).answered(token, index)?;
                 }
             }
-            Effect::Refused(token, _) => {
+            Effect::Rejected(token, _) => {
                 if self.history.reads.contains_key(&token) {
                     Arc::make_mut(&mut self.history).reads.remove(&token);
                 }
@@ -260,7 +260,7 @@
     fn send(&mut self, server: &Server, message: Message) -> Result<(), Violation> {
         let on_disk = server.disk.hard_state;
         let is_pledged = match message.body {
-            Body::VoteResponse { granted: true } => {
+            MessageBody::RequestVoteResponse { granted: true } => {
                 (on_disk.term, on_disk.vote) == (message.term, message.to)
             }
             _ => on_disk.term >= message.term,
@@ -340,7 +340,7 @@
             .committed_before(term)
             .any(|entry| match &entry.payload {
                 EntryPayload::Membership(members) => members.retired.contains(&identity),
-                EntryPayload::Blank | EntryPayload::Command(_) => false,
+                EntryPayload::Noop | EntryPayload::Command(_) => false,
             });
         if is_retired {
             return broken("a retired identity stays out", format!("{identity} leads"));
--- a/consensus/tests/model/properties.rs
+++ b/consensus/tests/model/properties.rs
@@ -44,7 +44,7 @@
     let entries = log.entries.iter();
     let with_members = entries.filter_map(|entry| match &entry.payload {
         EntryPayload::Membership(members) => Some((entry, members)),
-        EntryPayload::Blank | EntryPayload::Command(_) => None,
+        EntryPayload::Noop | EntryPayload::Command(_) => None,
     });
     with_members.collect()
 }
--- a/consensus/tests/model/scenarios.rs
+++ b/consensus/tests/model/scenarios.rs
@@ -1,7 +1,7 @@
 //! Where the exploration starts, and what may happen from there.
 
 use consensus::node::Role;
-use consensus::{Body, Entry, EntryPayload, HardState, Membership, Message, NodeId, Term};
+use consensus::{Entry, EntryPayload, HardState, Membership, Message, MessageBody, NodeId, Term};
 
 use crate::actions::{Action, Scenario};
 use crate::cluster::{is_request, member, timing, Budget, Cluster, Grain, CLUSTER};
@@ -140,7 +140,8 @@
     };
     cluster.perform(&Action::Tick(1)).expect("pre-votes");
     for voter in [2, 3] {
-        let is_vote = |m: &Message| m.to == voter && matches!(m.body, Body::Vote { .. });
+        let is_vote =
+            |m: &Message| m.to == voter && matches!(m.body, MessageBody::RequestVote { .. });
         let vote = cluster.network.iter().find(|(_, message)| is_vote(message));
         let message = vote.expect("a vote is asked for").1.clone();
         let deliver = Action::Deliver {
--- a/consensus/tests/older.rs
+++ b/consensus/tests/older.rs
@@ -1,7 +1,7 @@
 //! Entries that an earlier leader left, at a new one.
 
 use consensus::node::{Effect, Input, Node, PersistedState, Role, Timing};
-use consensus::{Body, Entry, EntryPayload, HardState, Member, Membership, Message};
+use consensus::{Entry, EntryPayload, HardState, Member, Membership, Message, MessageBody};
 
 const CLUSTER: u64 = 7;
 
@@ -12,7 +12,7 @@
         region: "north".into(),
         zone: "north-a".into(),
         address: String::new(),
-        desk: String::new(),
+        operator_address: String::new(),
     }
 }
 
@@ -64,7 +64,7 @@
         }
         applied.clone()
     };
-    let heard = |from: u64, term: u64, body: Body| {
+    let heard = |from: u64, term: u64, body: MessageBody| {
         Input::Received(Message {
             from,
             to: 1,
@@ -81,24 +81,24 @@
         step(
             &mut node,
             now,
-            heard(from, 3, Body::PreVoteResponse { granted: true }),
+            heard(from, 3, MessageBody::PreVoteResponse { granted: true }),
         );
     }
     for from in [2, 3] {
         step(
             &mut node,
             now,
-            heard(from, 4, Body::VoteResponse { granted: true }),
+            heard(from, 4, MessageBody::RequestVoteResponse { granted: true }),
         );
     }
     assert_eq!(
-        (node.role(), node.term(), node.last()),
+        (node.role(), node.term(), node.last_index()),
         (Role::Leader, 4, 3)
     );
     // Two others hold the older entry, and not yet the leader's own.
-    let answer = |matched| Body::AppendEntriesResponse {
+    let answer = |match_index| MessageBody::AppendEntriesResponse {
         is_match: true,
-        matched,
+        match_index,
         round: 1,
     };
     for from in [2, 3] {
@@ -169,7 +169,7 @@
             members,
             state: Vec::new(),
         };
-        let body = Body::InstallSnapshot { round: 1, snapshot };
+        let body = MessageBody::InstallSnapshot { round: 1, snapshot };
         let message = Message {
             from: 2,
             to: 1,
@@ -179,7 +179,7 @@
         };
         node.step(1_010, Input::Received(message));
         assert_eq!(
-            (node.last(), node.commit()),
+            (node.last_index(), node.commit_index()),
             (last, index),
             "snapshot at {index}"
         );
--- a/consensus/tests/repair.rs
+++ b/consensus/tests/repair.rs
@@ -1,12 +1,12 @@
 //! Which change of membership comes next: a table.
 
-use consensus::repair::{next_change, Change, MemberHealth, RepairPolicy, Standstill};
+use consensus::repair::{next_change, MemberHealth, MembershipChange, NoChange, RepairPolicy};
 use consensus::Member;
 
 const POLICY: RepairPolicy = RepairPolicy {
     voters: 5,
-    replace_after_ms: 1_000,
-    forget_after_ms: 60_000,
+    replace_voter_after_ms: 1_000,
+    remove_learner_after_ms: 60_000,
 };
 
 /// A member and how it stands, in short: its identity, its place, and a state.
@@ -25,7 +25,7 @@
         region: place[..1].into(),
         zone: place.into(),
         address: String::new(),
-        desk: String::new(),
+        operator_address: String::new(),
     }
 }
 
@@ -45,7 +45,7 @@
 
 type Listed<'a> = &'a [(u64, &'a str, Stands)];
 
-fn change(voters: Listed, learners: Listed) -> Result<Change, Standstill> {
+fn change(voters: Listed, learners: Listed) -> Result<MembershipChange, NoChange> {
     let of = |list: Listed| -> Vec<(Member, Stands)> {
         list.iter()
             .map(|(identity, place, stands)| (member(*identity, place), *stands))
@@ -72,94 +72,99 @@
 
 #[test]
 fn a_silent_voter_is_replaced_and_nothing_else_is_touched() {
-    use Change::{Demote, Forget, Promote};
+    use MembershipChange::{DemoteVoter, PromoteLearner, RemoveLearner};
     use Stands::{Behind, Leaving, Silent, Well};
     type Members = Vec<(u64, &'static str, Stands)>;
-    type Case = (&'static str, Members, Members, Result<Change, Standstill>);
+    type Case = (
+        &'static str,
+        Members,
+        Members,
+        Result<MembershipChange, NoChange>,
+    );
     let cases: Vec<Case> = vec![
         (
             "all is well",
             FIVE.into(),
             vec![],
-            Err(Standstill::Complete),
+            Err(NoChange::NothingToRepair),
         ),
         (
             "a learner stands by",
             FIVE.into(),
             vec![(6, "c1", Well)],
-            Err(Standstill::Complete),
+            Err(NoChange::NothingToRepair),
         ),
         (
             "silent, nobody ready",
             five_with(3, Silent(9_000)),
             vec![(6, "c1", Behind)],
-            Err(Standstill::NoReadyLearner),
+            Err(NoChange::NoReadyLearner),
         ),
         (
             "silent, not for long",
             five_with(3, Silent(900)),
             vec![(6, "c1", Well)],
-            Err(Standstill::Complete),
+            Err(NoChange::NothingToRepair),
         ),
         (
             "silent, a learner ready",
             five_with(3, Silent(1_000)),
             vec![(6, "c1", Well)],
-            Ok(Promote(6)),
+            Ok(PromoteLearner(6)),
         ),
         (
             "one that leaves",
             five_with(2, Leaving),
             vec![(6, "c1", Well)],
-            Ok(Promote(6)),
+            Ok(PromoteLearner(6)),
         ),
         (
             "a learner that leaves is not ready",
             five_with(2, Silent(2_000)),
             vec![(6, "c1", Leaving)],
-            Err(Standstill::NoReadyLearner),
+            Err(NoChange::NoReadyLearner),
         ),
         (
             "the place of the one that goes is filled",
             five_with(3, Silent(2_000)),
             vec![(6, "a1", Well), (7, "c1", Well)],
-            Ok(Promote(7)),
+            Ok(PromoteLearner(7)),
         ),
         (
             "too few",
             FIVE[..4].into(),
             vec![(6, "a1", Well), (7, "c1", Well)],
-            Ok(Promote(7)),
+            Ok(PromoteLearner(7)),
         ),
         (
             "a learner gone for good",
             FIVE.into(),
             vec![(6, "c1", Silent(60_000))],
-            Ok(Forget(6)),
+            Ok(RemoveLearner(6)),
         ),
         (
             "not forgotten while there is more to do",
             five_with(2, Silent(5_000)),
             vec![(6, "c1", Silent(70_000)), (7, "b1", Well)],
-            Ok(Promote(7)),
+            Ok(PromoteLearner(7)),
         ),
         (
             "six: the silent one goes",
             [five_with(3, Silent(2_000)), vec![(6, "c1", Well)]].concat(),
             vec![],
-            Ok(Demote(3)),
+            Ok(DemoteVoter(3)),
         ),
         (
             "six: the one that leaves goes",
             [five_with(4, Leaving), vec![(6, "c1", Well)]].concat(),
             vec![],
-            Ok(Demote(4)),
+            Ok(DemoteVoter(4)),
         ),
         (
             "six, the silent one is back: the fullest region gives",
             [FIVE.to_vec(), vec![(6, "b2", Well)]].concat(),
             vec![],
-            Ok(Demote(2)),
+            Ok(DemoteVoter(2)),
         ),
     ];
     for (name, voters, learners, wanted) in cases {
@@ -181,15 +186,18 @@
     ];
     assert_eq!(
         change(&crowded, &[(6, "a1", Well)]),
-        Err(Standstill::Complete)
+        Err(NoChange::NothingToRepair)
     );
     assert_eq!(
         change(&crowded, &[(6, "a1", Well), (7, "b2", Well)]),
-        Ok(Change::Promote(7))
+        Ok(MembershipChange::PromoteLearner(7))
     );
     let six: Vec<_> = crowded.into_iter().chain([(7, "b2", Well)]).collect();
     let demoted = change(&six, &[(6, "a1", Well)]);
-    assert!(matches!(demoted, Ok(Change::Demote(2 | 3))), "{demoted:?}");
+    assert!(
+        matches!(demoted, Ok(MembershipChange::DemoteVoter(2 | 3))),
+        "{demoted:?}"
+    );
 }
 
 /// Guards: the leader itself is never demoted, however it stands.
@@ -207,6 +215,6 @@
         .collect();
     assert_eq!(
         next_change(&health(&listed), &[], 1, &policy),
-        Ok(Change::Demote(2))
+        Ok(MembershipChange::DemoteVoter(2))
     );
 }
--- a/consensus/tests/replacement.rs
+++ b/consensus/tests/replacement.rs
@@ -21,12 +21,12 @@
 
 fn timing(machines: usize) -> Timing {
     let (beat, election, voters) = (120, 500, 5);
-    let replace_after_ms = catch_up_ms(machines) / 4;
+    let replace_voter_after_ms = catch_up_ms(machines) / 4;
     Timing {
         heartbeat_ms: beat,
         election_timeout_ms: election,
         voters,
-        replace_after_ms,
+        replace_voter_after_ms,
         ..Timing::default()
     }
 }
--- a/consensus/tests/snapshots.rs
+++ b/consensus/tests/snapshots.rs
@@ -7,7 +7,8 @@
 use consensus::node::{Effect, Input, Node, PersistedState, SnapshotPolicy, Timing, Write};
 use consensus::wal::WriteAheadLog;
 use consensus::{
-    Body, Entry, EntryPayload, HardState, LogIndex, Member, Membership, Message, Snapshot, Term,
+    Entry, EntryPayload, HardState, LogIndex, Member, Membership, Message, MessageBody, Snapshot,
+    Term,
 };
 use support::cluster::{Cluster, Conditions};
 use support::disk::MemoryDisk;
@@ -111,7 +112,7 @@
         region: "north".into(),
         zone: "north-a".into(),
         address: String::new(),
-        desk: String::new(),
+        operator_address: String::new(),
     }
 }
 
@@ -130,11 +131,16 @@
     }
 }
 
-fn append(prior_index: LogIndex, prior_term: Term, commit: LogIndex, entries: Vec<Entry>) -> Body {
-    Body::AppendEntries {
-        prior_index,
-        prior_term,
-        commit,
+fn append(
+    prev_log_index: LogIndex,
+    prev_log_term: Term,
+    leader_commit: LogIndex,
+    entries: Vec<Entry>,
+) -> MessageBody {
+    MessageBody::AppendEntries {
+        prev_log_index,
+        prev_log_term,
+        leader_commit,
         round: 1,
         entries,
     }
@@ -150,8 +156,8 @@
     }
 }
 
-fn install(index: LogIndex, term: Term) -> Body {
-    Body::InstallSnapshot {
+fn install(index: LogIndex, term: Term) -> MessageBody {
+    MessageBody::InstallSnapshot {
         round: 1,
         snapshot: snapshot(index, term),
     }
@@ -203,14 +209,14 @@
                 Effect::Write(ticket, writes) => self.unwritten.push((ticket, writes)),
                 Effect::Send(Message {
                     body:
-                        Body::AppendEntriesResponse {
+                        MessageBody::AppendEntriesResponse {
                             is_match: true,
-                            matched,
+                            match_index,
                             ..
                         },
                     ..
                 }) => {
-                    self.claimed = self.claimed.max(matched);
+                    self.claimed = self.claimed.max(match_index);
                 }
                 Effect::Apply(entry, _) => {
                     assert_eq!(entry.index, self.applied + 1, "in order");
@@ -225,7 +231,7 @@
         }
     }
 
-    fn hear(&mut self, body: Body) {
+    fn hear(&mut self, body: MessageBody) {
         let term = self.node.term();
         self.step(Input::Received(Message {
             from: LEADER,
@@ -302,10 +308,16 @@
         body,
     };
     follower.step(Input::Received(message(append(1, 1, 4, Vec::new()))));
-    assert_eq!((follower.node.commit(), follower.node.last()), (1, 5));
+    assert_eq!(
+        (follower.node.commit_index(), follower.node.last_index()),
+        (1, 5)
+    );
     let entries = vec![command(2, 2), command(3, 2)];
     follower.step(Input::Received(message(append(1, 1, 4, entries))));
-    assert_eq!((follower.node.commit(), follower.node.last()), (3, 3));
+    assert_eq!(
+        (follower.node.commit_index(), follower.node.last_index()),
+        (3, 3)
+    );
 }
 
 /// Guards: a node whose disk took one write not, and the next ones, would claim a
@@ -363,10 +375,10 @@
                 }
             }
             assert!(
-                follower.node.commit() >= commit,
+                follower.node.commit_index() >= commit,
                 "seed {number}: the commit fell"
             );
-            commit = follower.node.commit();
+            commit = follower.node.commit_index();
             assert!(
                 follower.claimed <= follower.last_on_disk(),
                 "seed {number}, turn {turn}"
--- a/consensus/tests/support/cluster.rs
+++ b/consensus/tests/support/cluster.rs
@@ -13,7 +13,8 @@
 };
 use consensus::wal::WriteAheadLog;
 use consensus::{
-    Body, Entry, EntryPayload, HardState, LogIndex, Member, Membership, Message, NodeId, Term,
+    Entry, EntryPayload, HardState, LogIndex, Member, Membership, Message, MessageBody, NodeId,
+    Term,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -120,7 +121,7 @@
         region: format!("region-{}", at % 3),
         zone: format!("zone-{}", at % 3),
         address: format!("10.0.0.{at}:1"),
-        desk: String::new(),
+        operator_address: String::new(),
     }
 }
 
@@ -294,13 +295,13 @@
     /// A leader whose own first entry is committed.
     pub fn settled_leader(&self) -> Option<usize> {
         self.leader()
-            .filter(|at| self.node(*at).is_some_and(Node::is_settled))
+            .filter(|at| self.node(*at).is_some_and(Node::can_change_membership))
     }
 
     /// Whether a machine's state is that of the newest acknowledged change.
     pub fn is_current(&self, at: usize) -> bool {
         self.node(at)
-            .is_some_and(|node| node.applied() >= self.acknowledged)
+            .is_some_and(|node| node.applied_index() >= self.acknowledged)
     }
 
     pub fn total_traffic(&self) -> Traffic {
@@ -341,7 +342,10 @@
                 self.handle(event);
             }
             for at in 0..self.machines.len() {
-                if self.node(at).is_some_and(|node| node.due() <= self.now) {
+                if self
+                    .node(at)
+                    .is_some_and(|node| node.next_deadline() <= self.now)
+                {
                     self.step(at, Input::Tick);
                 }
             }
@@ -351,7 +355,7 @@
     fn next_time(&self) -> u64 {
         let queued = self.queue.keys().next().map_or(u64::MAX, |(at, _)| *at);
         let nodes = (0..self.machines.len()).filter_map(|at| self.node(at));
-        let due = nodes.map(Node::due).min().unwrap_or(u64::MAX);
+        let due = nodes.map(Node::next_deadline).min().unwrap_or(u64::MAX);
         queued.min(due.max(self.now + 1))
     }
 
@@ -428,7 +432,7 @@
         let Some(running) = self.machines[at].running.as_mut() else {
             return;
         };
-        match running.log.reopened() {
+        match running.log.reopen() {
             Ok((log, kept)) => self.begin(at, log, kept),
             Err(_) => {
                 let start = self.machines[at].starts;
@@ -522,7 +526,7 @@
                 );
                 self.reads += 1;
             }
-            Effect::Refused(..) => {}
+            Effect::Rejected(..) => {}
         }
     }
 
@@ -549,7 +553,7 @@
     fn send(&mut self, from: usize, message: Message) {
         let to = message.to as usize - 1;
         self.traffic[to].count(&message);
-        let is_snapshot = matches!(message.body, Body::InstallSnapshot { .. });
+        let is_snapshot = matches!(message.body, MessageBody::InstallSnapshot { .. });
         if is_snapshot && self.snapshots_to_lose > 0 {
             self.snapshots_to_lose -= 1;
             return;
--- a/consensus/tests/support/disk.rs
+++ b/consensus/tests/support/disk.rs
@@ -1,8 +1,8 @@
 //! A disk in memory that loses power the way a real one does: file contents
-//! last from `sync` on, changes of the folder from `sync_folder` on, and each
+//! last from `sync` on, changes of the folder from `sync_directory` on, and each
 //! change of the folder before that is kept or lost by itself.
 
-use consensus::wal::Files;
+use consensus::wal::LogStorage;
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -128,7 +128,7 @@
     }
 }
 
-impl Files for MemoryDisk {
+impl LogStorage for MemoryDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.disk().folder.keys().cloned().collect())
     }
@@ -163,7 +163,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut disk = self.disk();
         disk.operate()?;
         let content = disk.content(name)?;
@@ -189,7 +189,7 @@
             .ok_or(io::ErrorKind::NotFound.into())
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         let mut disk = self.disk();
         disk.operate()?;
         disk.synced_folder = disk.folder.clone();
--- a/consensus/tests/support/state.rs
+++ b/consensus/tests/support/state.rs
@@ -42,7 +42,7 @@
 fn mixed(sum: u64, entry: &Entry) -> u64 {
     let bytes = match &entry.payload {
         EntryPayload::Command(bytes) => bytes.get(..8).unwrap_or(bytes),
-        EntryPayload::Blank | EntryPayload::Membership(_) => &[],
+        EntryPayload::Noop | EntryPayload::Membership(_) => &[],
     };
     let fold = |sum: u64, byte: u64| (sum ^ byte).wrapping_mul(0x100_0000_01b3);
     let sum = fold(fold(sum, entry.index), entry.term);
--- a/consensus/tests/support/traffic.rs
+++ b/consensus/tests/support/traffic.rs
@@ -1,6 +1,6 @@
 //! What goes over the links of a test cluster.
 
-use consensus::{Body, EntryPayload, Message};
+use consensus::{EntryPayload, Message, MessageBody};
 
 /// Messages that were sent, and what was in them.
 #[derive(Clone, Copy, Default, Debug)]
@@ -16,8 +16,8 @@
         self.messages += 1;
         self.bytes += size(message);
         match &message.body {
-            Body::InstallSnapshot { .. } => self.snapshots += 1,
-            Body::AppendEntries { entries, .. } => self.entries += entries.len() as u64,
+            MessageBody::InstallSnapshot { .. } => self.snapshots += 1,
+            MessageBody::AppendEntries { entries, .. } => self.entries += entries.len() as u64,
             _ => {}
         }
     }
@@ -26,14 +26,14 @@
 /// About how long a message is on a link.
 fn size(message: &Message) -> u64 {
     let body = match &message.body {
-        Body::AppendEntries { entries, .. } => entries
+        MessageBody::AppendEntries { entries, .. } => entries
             .iter()
             .map(|entry| match &entry.payload {
                 EntryPayload::Command(bytes) => 21 + bytes.len(),
-                EntryPayload::Blank | EntryPayload::Membership(_) => 21,
+                EntryPayload::Noop | EntryPayload::Membership(_) => 21,
             })
             .sum(),
-        Body::InstallSnapshot { snapshot, .. } => snapshot.state.len(),
+        MessageBody::InstallSnapshot { snapshot, .. } => snapshot.state.len(),
         _ => 0,
     };
     60 + body as u64
--- a/consensus/tests/write_ahead_log.rs
+++ b/consensus/tests/write_ahead_log.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use consensus::node::{PersistedState, Write};
-use consensus::wal::{Files, WriteAheadLog};
+use consensus::wal::{LogStorage, WriteAheadLog};
 use consensus::{Entry, EntryPayload, HardState, LogIndex, Membership, Snapshot, Term};
 use support::disk::MemoryDisk;
 
--- a/directory/src/driver/disk.rs
+++ b/directory/src/driver/disk.rs
@@ -3,7 +3,7 @@
 use super::thread::COMMAND_QUEUE_LEN;
 use super::DriverCommand;
 use consensus::node::Write;
-use consensus::wal::{Folder, WriteAheadLog};
+use consensus::wal::{DiskStorage, WriteAheadLog};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 /// failure what is on disk is not known; nothing is built on it until all that
 /// was not synced before is cut off, and the rest read back.
 pub(super) fn run_disk_thread(
-    mut segments: WriteAheadLog<Folder>,
+    mut segments: WriteAheadLog<DiskStorage>,
     mut writes: Receiver<(u64, Vec<Write>)>,
     commands: &SyncSender<DriverCommand>,
 ) {
@@ -35,7 +35,7 @@
                     std::thread::sleep(DISK_RETRY_INTERVAL);
                     // What the node has said since its disk failed is void.
                     while writes.try_recv().is_ok() {}
-                    match segments.reopened() {
+                    match segments.reopen() {
                         Ok(reopened) => break reopened,
                         Err(error) => log::debug!("the disk is not back yet: {error:#}"),
                     }
--- a/directory/src/driver/thread/mod.rs
+++ b/directory/src/driver/thread/mod.rs
@@ -7,11 +7,11 @@
 use super::{ClusterStatus, ConsensusDriver, DriverCommand, PauseDetector};
 use crate::leader_clock::LeaderClock;
 use crate::peers::PeerConnections;
+use consensus::codec::from_bytes;
 use consensus::node::{
-    Effect, Input, Node, PersistedState, Refusal as No, SnapshotPolicy, Timing, Write,
+    Effect, Input, Node, PersistedState, RequestError, SnapshotPolicy, Timing, Write,
 };
-use consensus::pack::unpacked;
-use consensus::wal::{Folder, WriteAheadLog};
+use consensus::wal::{DiskStorage, WriteAheadLog};
 use consensus::{EntryPayload, Member, NodeId, Term};
 use parking_lot::RwLock;
 use placement::{Margin, Paces, Pools};
@@ -116,7 +116,7 @@
     snapshot_every: u64,
     min_voters: usize,
     quota_margin: Option<Margin>,
-    segments: WriteAheadLog<Folder>,
+    segments: WriteAheadLog<DiskStorage>,
     kept: PersistedState,
     peers: Arc<PeerConnections>,
     metrics: Arc<Metrics>,
@@ -209,7 +209,7 @@
             .values()
             .map(|sent| sent.deadline_ms)
             .min();
-        let due = self.node.due().min(asked.unwrap_or(u64::MAX));
+        let due = self.node.next_deadline().min(asked.unwrap_or(u64::MAX));
         Duration::from_millis(due.saturating_sub(now()).min(LONGEST_WAIT_MS))
     }
 
@@ -334,7 +334,7 @@
                 Effect::Apply(entry, token) => {
                     let waiter = token.and_then(|token| self.waiters.remove(&token));
                     let reply = match &entry.payload {
-                        EntryPayload::Blank => None,
+                        EntryPayload::Noop => None,
                         EntryPayload::Membership(members) => {
                             log::info!(index = entry.index; "{}", describe(members));
                             Some(PeerResponse::Changed)
@@ -360,14 +360,16 @@
                         self.confirmed_reads.push((index, waiter, shares));
                     }
                 }
-                Effect::Refused(token, no) => {
+                Effect::Rejected(token, no) => {
                     self.granted_shares.remove(&token);
                     if let Some(waiter) = self.waiters.remove(&token) {
                         let reply = match no {
-                            No::NotLeader => PeerResponse::NotLeader,
-                            No::Busy => PeerResponse::Busy,
-                            No::Unfit(text) => PeerResponse::Unfit(residency::Name(text)),
-                            No::Lost => PeerResponse::Lost,
+                            RequestError::NotLeader => PeerResponse::NotLeader,
+                            RequestError::Busy => PeerResponse::Busy,
+                            RequestError::InvalidMembershipChange(text) => {
+                                PeerResponse::Unfit(residency::Name(text))
+                            }
+                            RequestError::LeadershipLost => PeerResponse::Lost,
                         };
                         self.respond(waiter, reply);
                     }
@@ -379,7 +381,7 @@
 
     fn apply(&mut self, index: u64, bytes: &[u8]) -> PeerResponse {
         let proposal: Proposal =
-            unpacked(bytes).expect("what was proposed here or by an equal can be read");
+            from_bytes(bytes).expect("what was proposed here or by an equal can be read");
         let mut state = self.state.write();
         let prior = state.epoch();
         let (outcome, events) = state.apply(index, &proposal);
@@ -411,7 +413,7 @@
         };
         if self.node.is_snapshot_due(policy) {
             let state = self.state.read().snapshot();
-            let index = self.node.applied();
+            let index = self.node.applied_index();
             self.step(Input::SnapshotTaken(index, state));
         }
     }
--- a/directory/src/driver/thread/requests.rs
+++ b/directory/src/driver/thread/requests.rs
@@ -3,8 +3,8 @@
 use super::{DriverThread, QuotaGrants, Sent, Waiter};
 use crate::driver::{ForwardedRequest, LocalRequest};
 use crate::leader_clock::is_valid;
+use consensus::codec::to_bytes;
 use consensus::node::{Input, Role};
-use consensus::pack::packed;
 use protocol::{Frame, FrontDemand, FrontShares, PeerRequest, PeerResponse};
 use residency::Outcome;
 use std::sync::atomic::Ordering;
@@ -108,7 +108,7 @@
                 if self.node.members().voters.len() < self.min_voters {
                     return self.respond(waiter, PeerResponse::Busy);
                 }
-                Input::Propose(token, packed(&proposal))
+                Input::Propose(token, to_bytes(&proposal))
             }
             PeerRequest::Admit(member) => Input::AddLearner(token, member),
             PeerRequest::Retire { identity } => Input::RemoveMember(token, identity),
@@ -170,7 +170,7 @@
         if self.confirmed_reads.is_empty() {
             return;
         }
-        let applied = self.node.applied();
+        let applied = self.node.applied_index();
         let (done, open) = std::mem::take(&mut self.confirmed_reads)
             .into_iter()
             .partition(|(index, _, _)| *index <= applied);
--- a/directory/src/driver/thread/status.rs
+++ b/directory/src/driver/thread/status.rs
@@ -31,7 +31,7 @@
             silent_ms: health
                 .map(|known| (known.member.identity, known.silent_ms))
                 .collect(),
-            is_changing: !self.node.is_settled(),
+            is_changing: !self.node.can_change_membership(),
             repair: match self.node.next_change() {
                 Ok(change) => format!("{change:?}"),
                 Err(standstill) => standstill.to_string(),
@@ -48,9 +48,9 @@
                 && before.leader == node.leader()
                 && before.term == node.term()
                 && before.cluster == node.cluster()
-                && before.commit_index == node.commit()
-                && before.applied_index == node.applied()
-                && before.last_index == node.last()
+                && before.commit_index == node.commit_index()
+                && before.applied_index == node.applied_index()
+                && before.last_index == node.last_index()
                 && before.is_disk_stalled == node.is_stalled()
                 && before.progress.iter().copied().eq(node.progress())
                 && before.members == *node.members()
@@ -64,9 +64,9 @@
             term: node.term(),
             cluster: node.cluster(),
             members: node.members().clone(),
-            commit_index: node.commit(),
-            applied_index: node.applied(),
-            last_index: node.last(),
+            commit_index: node.commit_index(),
+            applied_index: node.applied_index(),
+            last_index: node.last_index(),
             is_disk_stalled: node.is_stalled(),
             progress: node.progress().collect(),
         };
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -19,7 +19,7 @@
 
 use anyhow::Context;
 use consensus::node::Timing;
-use consensus::wal::{Folder, WriteAheadLog};
+use consensus::wal::{DiskStorage, WriteAheadLog};
 use consensus::Member;
 use dispatch::quota::Quota;
 use dispatch::roster::Roster;
@@ -223,7 +223,7 @@
         .with_context(|| format!("{data} is in use by another process"))?;
     let identity = identity(folder)?;
     let log = folder.join("log");
-    let (segments, kept) = WriteAheadLog::open(Folder::open(&log)?).map_err(|error| {
+    let (segments, kept) = WriteAheadLog::open(DiskStorage::open(&log)?).map_err(|error| {
         anyhow::anyhow!(
             "{}: {error}. Nothing was changed. Way back: if the other nodes are well, \
              move this data folder aside and start the node again; it joins as a new one.",
@@ -247,7 +247,7 @@
     settings: Settings,
     extensions: Extensions,
     identity: u64,
-    segments: WriteAheadLog<Folder>,
+    segments: WriteAheadLog<DiskStorage>,
     kept: consensus::node::PersistedState,
     founds: bool,
 ) -> anyhow::Result<()> {
@@ -263,7 +263,7 @@
         region: settings.region,
         zone: settings.zone,
         address: address.to_string(),
-        desk: settings.operator_address.to_string(),
+        operator_address: settings.operator_address.to_string(),
     };
     let metrics = Arc::new(Metrics::default());
     let peers = peers::PeerConnections::new(member.clone(), listen);
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -91,7 +91,7 @@
             "region": member.region.clone(),
             "zone": member.zone.clone(),
             "address": member.address.clone(),
-            "desk": member.desk.clone(),
+            "desk": member.operator_address.clone(),
             "leads": cluster_status.leader == Some(member.identity),
             "synced": synced.map(|(_, index)| *index),
             "silent_ms": silent.map(|(_, silent_ms)| *silent_ms),
--- a/directory/src/peers.rs
+++ b/directory/src/peers.rs
@@ -3,8 +3,8 @@
 use crate::driver::{DriverCommand, ForwardedRequest};
 use crate::pending_requests::PendingRequests;
 use crate::{forwarded_requests, subscriptions, ControlPlane};
-use consensus::pack::unpacked;
-use consensus::{Body, EntryPayload, Member, NodeId};
+use consensus::codec::from_bytes;
+use consensus::{EntryPayload, Member, MessageBody, NodeId};
 use parking_lot::Mutex;
 use protocol::{Frame, Kind, PeerRequest, PeerResponse};
 use residency::{Proposal, State};
@@ -186,12 +186,12 @@
 
 /// Whether this build can read what a message of the consensus brings. Nothing else
 /// may get as far as the log: what is in it has to be applied.
-fn check_content(body: &Body) -> Result<(), String> {
+fn check_content(body: &MessageBody) -> Result<(), String> {
     match body {
-        Body::InstallSnapshot { snapshot, .. } => State::restore(&snapshot.state).map(drop),
-        Body::AppendEntries { entries, .. } => {
+        MessageBody::InstallSnapshot { snapshot, .. } => State::restore(&snapshot.state).map(drop),
+        MessageBody::AppendEntries { entries, .. } => {
             entries.iter().try_for_each(|entry| match &entry.payload {
-                EntryPayload::Command(bytes) => unpacked::<Proposal>(bytes).map(drop),
+                EntryPayload::Command(bytes) => from_bytes::<Proposal>(bytes).map(drop),
                 _ => Ok(()),
             })
         }
--- a/directory/tests/operator_commands.rs
+++ b/directory/tests/operator_commands.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Nodes, PATIENCE};
-use consensus::{Body, Message};
+use consensus::{Message, MessageBody};
 use directory::ControlPlane;
 use protocol::{Frame, PeerRequest, PeerResponse, Validity};
 use residency::{Command, Name, Outcome, Proposal};
@@ -268,14 +268,14 @@
     nodes.set_filter(Box::new(move |mut frame| {
         if let Frame::Consensus(Message {
             to,
-            body: Body::AppendEntries { commit, .. },
+            body: MessageBody::AppendEntries { leader_commit, .. },
             ..
         }) = &mut frame
         {
-            *commit = if *to == next_id {
-                known.min(*commit)
+            *leader_commit = if *to == next_id {
+                known.min(*leader_commit)
             } else {
-                *commit
+                *leader_commit
             };
         }
         vec![frame]
@@ -297,9 +297,9 @@
             to,
             cluster,
             term,
-            body: Body::AppendEntries { .. },
+            body: MessageBody::AppendEntries { .. },
         }) if from == leader_id && to == next_id => {
-            let body = Body::TimeoutNow;
+            let body = MessageBody::TimeoutNow;
             vec![Frame::Consensus(Message {
                 from,
                 to,
@@ -311,7 +311,7 @@
         Frame::Consensus(Message {
             from,
             to,
-            body: Body::AppendEntriesResponse { .. },
+            body: MessageBody::AppendEntriesResponse { .. },
             ..
         }) if to == next_id && (from == leader_id || !is_asked) => Vec::new(),
         Frame::Ask {
--- a/placement/tests/router_membership.rs
+++ b/placement/tests/router_membership.rs
@@ -24,7 +24,7 @@
         region: "north".into(),
         zone: "north-a".into(),
         address: format!("127.0.1.{identity}:1"),
-        desk: format!("127.0.1.{identity}:2"),
+        operator_address: format!("127.0.1.{identity}:2"),
     };
     (1..=count).map(member).collect()
 }
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -3,8 +3,8 @@
 //! that says its epoch; another epoch is refused in words.
 
 use binrw::binrw;
-use consensus::pack::{
-    packed, read_bytes, read_list, read_text, unpacked, write_bytes, write_list, write_text,
+use consensus::codec::{
+    from_bytes, read_bytes, read_list, read_string, to_bytes, write_bytes, write_list, write_string,
 };
 use consensus::{Member, Message};
 use residency::{Event, Mapping, Name, Outcome, Proposal};
@@ -39,22 +39,22 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Front {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub name: String,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub region: String,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub zone: String,
     /// Where callers reach it.
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub door: String,
     /// Where its neighbours reach it.
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub address: String,
     /// What is in force there.
     pub epoch: u64,
@@ -89,8 +89,8 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Demand {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub tenant: String,
     /// Jobs that were admitted.
     pub used: u64,
@@ -114,8 +114,8 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub tenant: String,
     /// How far it may count.
     pub limit: u64,
@@ -127,8 +127,8 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct FrontDemand {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub front: String,
     /// Another one for each start of a process.
     pub life: u64,
@@ -145,8 +145,8 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct FrontShares {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub front: String,
     pub number: u64,
     #[br(parse_with = read_list)]
@@ -158,8 +158,8 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Header {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub name: String,
     #[br(parse_with = read_bytes)]
     #[bw(write_with = write_bytes)]
@@ -171,21 +171,21 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobHead {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub id: String,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub method: String,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub target: String,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub headers: Vec<Header>,
     /// The asking router's region, which is the caller's.
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub region: String,
     /// The router's epoch; the node answers from no older a state.
     pub epoch: u64,
@@ -203,15 +203,15 @@
     Hello {
         epoch: u16,
         kind: Kind,
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         name: String,
     },
     /// The last frame before a connection is closed on purpose.
     #[brw(magic = 2u8)]
     Refused {
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         text: String,
     },
 
@@ -250,8 +250,8 @@
         #[br(map = |n: u8| n != 0)]
         #[bw(map = |b: &bool| u8::from(*b))]
         admitted: bool,
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         text: String,
     },
     /// Who speaks on a link, so that answers find their way to a node that is
@@ -296,14 +296,14 @@
     #[brw(magic = 25u8)]
     Resolve {
         number: u64,
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         tenant: String,
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         service: String,
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         region: String,
     },
     #[brw(magic = 26u8)]
@@ -350,11 +350,11 @@
     #[brw(magic = 37u8)]
     Declined {
         status: u16,
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         code: String,
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         text: String,
         #[br(map = |n: u8| n != 0)]
         #[bw(map = |b: &bool| u8::from(*b))]
@@ -366,8 +366,8 @@
     #[brw(magic = 40u8)]
     Look {
         number: u64,
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         key: String,
         /// The asker's epoch; an older share answers with a miss.
         epoch: u64,
@@ -384,8 +384,8 @@
     /// What a router has at the engines, and which parts of prompts they keep.
     #[brw(magic = 43u8)]
     Tidings {
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         from: String,
         /// It came from another region, and is passed on no further.
         is_relayed: u8,
@@ -403,8 +403,8 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub engine: String,
     pub jobs: u32,
     pub tokens: u32,
@@ -415,8 +415,8 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Kept {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub engine: String,
     pub chain: u64,
 }
@@ -521,7 +521,7 @@
 
 /// A frame with its length before it.
 pub fn encode(frame: &Frame) -> Vec<u8> {
-    let body = packed(frame);
+    let body = to_bytes(frame);
     let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
     bytes.extend(body);
     bytes
@@ -529,7 +529,7 @@
 
 /// Reads the body of one frame, which must fill it.
 pub fn decode(bytes: &[u8]) -> Result<Frame, String> {
-    unpacked(bytes)
+    from_bytes(bytes)
 }
 
 #[cfg(test)]
--- a/protocol/tests/formats/frames.rs
+++ b/protocol/tests/formats/frames.rs
@@ -2,7 +2,7 @@
 
 use crate::bytes::{allowance, config, edited, edits};
 use crate::memory::peak;
-use consensus::{Body, Entry, EntryPayload, Member, Membership, Message, Snapshot};
+use consensus::{Entry, EntryPayload, Member, Membership, Message, MessageBody, Snapshot};
 use proptest::prelude::*;
 use proptest::sample::Index;
 use protocol::*;
@@ -30,7 +30,7 @@
         region: "north".into(),
         zone: "north-a".into(),
         address: "10.0.0.1:7360".into(),
-        desk: "10.0.0.1:7361".into(),
+        operator_address: "10.0.0.1:7361".into(),
     }
 }
 
@@ -172,14 +172,14 @@
     ]
 }
 
-fn bodies() -> Vec<Body> {
+fn bodies() -> Vec<MessageBody> {
     let entry = |index, payload| Entry {
         index,
         term: 3,
         payload,
     };
     let entries = vec![
-        entry(1, EntryPayload::Blank),
+        entry(1, EntryPayload::Noop),
         entry(2, EntryPayload::Command(vec![1, 2, 3])),
         entry(3, EntryPayload::Membership(membership())),
     ];
@@ -191,31 +191,31 @@
         state: vec![7; 50],
     };
     vec![
-        Body::PreVote {
-            last_index: 5,
-            last_term: 2,
+        MessageBody::PreVote {
+            last_log_index: 5,
+            last_log_term: 2,
         },
-        Body::PreVoteResponse { granted: true },
-        Body::Vote {
-            last_index: 5,
-            last_term: 2,
+        MessageBody::PreVoteResponse { granted: true },
+        MessageBody::RequestVote {
+            last_log_index: 5,
+            last_log_term: 2,
             is_transfer: false,
         },
-        Body::VoteResponse { granted: false },
-        Body::AppendEntries {
-            prior_index: 0,
-            prior_term: 0,
-            commit: 2,
+        MessageBody::RequestVoteResponse { granted: false },
+        MessageBody::AppendEntries {
+            prev_log_index: 0,
+            prev_log_term: 0,
+            leader_commit: 2,
             round: 8,
             entries,
         },
-        Body::AppendEntriesResponse {
+        MessageBody::AppendEntriesResponse {
             is_match: true,
-            matched: 3,
+            match_index: 3,
             round: 8,
         },
-        Body::InstallSnapshot { round: 9, snapshot },
-        Body::TimeoutNow,
+        MessageBody::InstallSnapshot { round: 9, snapshot },
+        MessageBody::TimeoutNow,
     ]
 }
 
--- a/protocol/tests/formats/log.rs
+++ b/protocol/tests/formats/log.rs
@@ -3,7 +3,7 @@
 use crate::bytes::{config, edited, edits};
 use crate::frames::membership;
 use consensus::node::{PersistedState, Write};
-use consensus::wal::{Files, WriteAheadLog};
+use consensus::wal::{LogStorage, WriteAheadLog};
 use consensus::{Entry, EntryPayload, HardState, Snapshot};
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -21,7 +21,7 @@
     }
 }
 
-impl Files for &mut Memory {
+impl LogStorage for &mut Memory {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.0.keys().cloned().collect())
     }
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         self.file(name)?.truncate(length as usize);
         Ok(())
     }
@@ -61,14 +61,14 @@
         Ok(())
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         Ok(())
     }
 }
 
 fn entry(index: u64) -> Entry {
     let payload = match index % 3 {
-        0 => EntryPayload::Blank,
+        0 => EntryPayload::Noop,
         1 => EntryPayload::Command(vec![index as u8; 30]),
         _ => EntryPayload::Membership(membership()),
     };
--- a/protocol/tests/formats/state.rs
+++ b/protocol/tests/formats/state.rs
@@ -3,7 +3,7 @@
 use crate::bytes::{allowance, config, edited, edits};
 use crate::frames::{commands, events};
 use crate::memory::peak;
-use consensus::pack::{packed, unpacked};
+use consensus::codec::{to_bytes, from_bytes};
 use proptest::prelude::*;
 use proptest::sample::Index;
 use residency::{Proposal, State, Topology, View};
@@ -79,11 +79,11 @@
         let all = commands();
         let command = all[which.index(all.len())].clone();
         let proposal = Proposal { id: "s".into(), base_epoch: 0, command };
-        let bytes = edited(&packed(&proposal), &edits);
-        let (read, most) = peak(|| unpacked::<Proposal>(&bytes));
+        let bytes = edited(&to_bytes(&proposal), &edits);
+        let (read, most) = peak(|| from_bytes::<Proposal>(&bytes));
         prop_assert!(most <= allowance(bytes.len()), "{} bytes of memory", most);
         if let Ok(read) = read {
-            prop_assert_eq!(unpacked::<Proposal>(&packed(&read)), Ok(read.clone()));
+            prop_assert_eq!(from_bytes::<Proposal>(&to_bytes(&read)), Ok(read.clone()));
             let mut state = state();
             state.check(&read);
             state.apply(1_000, &read);
@@ -95,8 +95,8 @@
     #[test]
     fn changed_events_are_taken(which in any::<Index>(), edits in edits()) {
         let all = events();
-        let bytes = edited(&packed(&all[which.index(all.len())]), &edits);
-        if let Ok(event) = unpacked::<residency::Event>(&bytes) {
+        let bytes = edited(&to_bytes(&all[which.index(all.len())]), &edits);
+        if let Ok(event) = from_bytes::<residency::Event>(&bytes) {
             let mut view = View::default();
             view.apply(&event);
             view.snapshot();
--- a/residency/src/command.rs
+++ b/residency/src/command.rs
@@ -2,7 +2,7 @@
 
 use crate::{Engine, EngineState, Name, TenantKey};
 use binrw::binrw;
-use consensus::pack::{read_list, read_text, write_list, write_text};
+use consensus::codec::{read_list, read_string, write_list, write_string};
 
 /// How an update of the topology file joins the file in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,8 +39,8 @@
         #[br(map = |byte: u8| UpdateMode::from(byte))]
         #[bw(map = |mode: &UpdateMode| u8::from(*mode))]
         mode: UpdateMode,
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         text: String,
     },
     #[brw(magic = 1u8)]
@@ -86,8 +86,8 @@
     #[brw(magic = 14u8)]
     AdoptDocument {
         config_document: ConfigDocument,
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         text: String,
     },
     /// What the platform's list of engines says anew.
@@ -115,8 +115,8 @@
     pub revision: u64,
     /// The number that it was built on.
     pub base_revision: u64,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub text: String,
 }
 
@@ -147,8 +147,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proposal {
     /// Drawn by who submits; a repeat carries the same.
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub id: String,
     /// The epoch that the change was based on: it is a conflict if its subject
     /// was changed past it. 0 stands for any. Index 1 founds the cluster, so a
@@ -170,8 +170,8 @@
     Conflict { epoch: u64 },
     #[brw(magic = 3u8)]
     Rejected(
-        #[br(parse_with = read_text)]
-        #[bw(write_with = write_text)]
+        #[br(parse_with = read_string)]
+        #[bw(write_with = write_string)]
         String,
     ),
 }
--- a/residency/src/fence.rs
+++ b/residency/src/fence.rs
@@ -3,7 +3,7 @@
 
 use crate::{Command, Event, Name};
 use binrw::binrw;
-use consensus::pack::{read_list, write_list};
+use consensus::codec::{read_list, write_list};
 
 /// A part of the state whose changes are told apart from the others'.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/residency/src/lib.rs
+++ b/residency/src/lib.rs
@@ -21,7 +21,7 @@
 };
 
 use binrw::binrw;
-use consensus::pack::{read_list, read_text, write_list, write_text};
+use consensus::codec::{read_list, read_string, write_list, write_string};
 
 /// Where the jobs of one key may go, as a directory node resolved it.
 /// Invariants: `cells` all lie in `regions`, the serving one first; `regions`
@@ -30,11 +30,11 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mapping {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub tenant: String,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub service: String,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
@@ -64,8 +64,8 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Name(
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub String,
 );
 
--- a/residency/src/state.rs
+++ b/residency/src/state.rs
@@ -10,7 +10,7 @@
 use crate::fence::{LastChanged, Part};
 use crate::{routing_key, Event, Name, Topology, View};
 use binrw::binrw;
-use consensus::pack::{packed, read_text, write_text};
+use consensus::codec::{read_string, to_bytes, write_string};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::collections::{BTreeMap, VecDeque};
@@ -38,8 +38,8 @@
 #[brw(big)]
 #[derive(Clone)]
 struct RecentProposal {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     id: String,
     sum: u32,
     epoch: u64,
@@ -332,5 +332,5 @@
 }
 
 fn crc(command: &Command) -> u32 {
-    crc32fast::hash(&packed(command))
+    crc32fast::hash(&to_bytes(command))
 }
--- a/residency/src/state/snapshot.rs
+++ b/residency/src/state/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::fence::LastChanged;
 use crate::{topology, Event, Name, Topology, View};
 use binrw::binrw;
-use consensus::pack::{packed, read_list, unpacked, write_list};
+use consensus::codec::{to_bytes, read_list, from_bytes, write_list};
 use simd_json::prelude::*;
 
 #[binrw]
@@ -31,7 +31,7 @@
 
 impl State {
     pub fn snapshot(&self) -> Vec<u8> {
-        packed(&StateSnapshot {
+        to_bytes(&StateSnapshot {
             epoch: self.epoch(),
             last_changed: self.last_changed.clone(),
             document: Name(self.document.encode()),
@@ -47,7 +47,7 @@
         if bytes.is_empty() {
             return Ok(State::default());
         }
-        let picture: StateSnapshot = unpacked(bytes)?;
+        let picture: StateSnapshot = from_bytes(bytes)?;
         let document = topology::parse_json(&picture.document.0)?;
         let topology =
             Topology::from_json(&document).map_err(|complaints| complaints.join("; "))?;
--- a/residency/src/view.rs
+++ b/residency/src/view.rs
@@ -1,7 +1,7 @@
 //! What a router knows: a picture of it, then changes.
 
 use binrw::binrw;
-use consensus::pack::{read_list, read_text, write_list, write_text};
+use consensus::codec::{read_list, read_string, write_list, write_string};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[binrw]
@@ -30,14 +30,14 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub name: String,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub address: String,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub cell: String,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
@@ -78,8 +78,8 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceLimits {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub service: String,
     pub max_connections: u64,
     pub warm_up_rate_per_s: u64,
@@ -92,11 +92,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantKey {
     /// SHA-256 in 64 hexadecimal digits.
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub digest: String,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub tenant: String,
 }
 
@@ -105,11 +105,11 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub name: String,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub region: String,
 }
 
@@ -118,11 +118,11 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cell {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub name: String,
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub zone: String,
 }
 
@@ -208,8 +208,8 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantLimits {
-    #[br(parse_with = read_text)]
-    #[bw(write_with = write_text)]
+    #[br(parse_with = read_string)]
+    #[bw(write_with = write_string)]
     pub tenant: String,
     /// Jobs a second; 0 stands for no quota.
     pub rate_per_s: u64,
--- a/simulator/src/checks.rs
+++ b/simulator/src/checks.rs
@@ -62,14 +62,14 @@
         let mut states = BTreeSet::new();
         for (at, machine) in self.machines.iter().enumerate() {
             let Some(live) = &machine.live else { continue };
-            if live.node.applied() < self.acknowledged {
+            if live.node.applied_index() < self.acknowledged {
                 let leader = self.leader().and_then(|at| self.machines[at].live.as_ref());
                 return self.fail(format!(
                     "node-{at} has applied {} of {} acknowledged; last {}, role {:?}, term {}, \
                      unsynced writes {}, leader's members {:?}, progress {:?}",
-                    live.node.applied(),
+                    live.node.applied_index(),
                     self.acknowledged,
-                    live.node.last(),
+                    live.node.last_index(),
                     live.node.role(),
                     live.node.term(),
                     live.writes.len(),
@@ -108,8 +108,8 @@
         live.node.role(),
         live.node.term(),
         live.node.cluster(),
-        live.node.last(),
-        live.node.commit(),
+        live.node.last_index(),
+        live.node.commit_index(),
         names(&live.node.members().voters),
         names(&live.node.members().learners),
         live.node.is_stalled(),
--- a/simulator/src/clients.rs
+++ b/simulator/src/clients.rs
@@ -1,8 +1,8 @@
 //! What operators, routers and nodes that want to join send.
 
 use super::Simulation;
+use consensus::codec::to_bytes;
 use consensus::node::Input;
-use consensus::pack::packed;
 use residency::{Command, Name, Proposal};
 
 impl Simulation {
@@ -67,6 +67,6 @@
             base_epoch: 0,
             command,
         };
-        self.step(at, Input::Propose(token, packed(&proposal)))
+        self.step(at, Input::Propose(token, to_bytes(&proposal)))
     }
 }
--- a/simulator/src/disk.rs
+++ b/simulator/src/disk.rs
@@ -1,7 +1,7 @@
 //! A disk in memory that loses what was not synced when power goes: ends of files,
 //! and files made, renamed or removed since their folder was synced.
 
-use consensus::wal::Files;
+use consensus::wal::LogStorage;
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
 use std::io;
@@ -130,7 +130,7 @@
     io::ErrorKind::NotFound.into()
 }
 
-impl Files for MemoryFiles {
+impl LogStorage for MemoryFiles {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.0.lock().names.keys().cloned().collect())
     }
@@ -160,7 +160,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut disk = self.0.lock();
         disk.burn()?;
         let content = disk.content(name)?;
@@ -189,7 +189,7 @@
         Ok(())
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         let mut disk = self.0.lock();
         disk.burn()?;
         disk.unsynced_changes.clear();
--- a/simulator/src/faults.rs
+++ b/simulator/src/faults.rs
@@ -134,7 +134,7 @@
     pub(super) fn whole_voters(&self) -> Option<usize> {
         let leader = self.leader()?;
         let node = &self.machines[leader].live.as_ref()?.node;
-        if !node.is_settled() {
+        if !node.can_change_membership() {
             return None;
         }
         let members = node.members();
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -166,7 +166,7 @@
             region: machine.zone.clone(),
             zone: machine.zone.clone(),
             address: machine.name.clone(),
-            desk: String::new(),
+            operator_address: String::new(),
         }
     }
 
--- a/simulator/src/machine.rs
+++ b/simulator/src/machine.rs
@@ -3,8 +3,8 @@
 use super::disk::MemoryFiles;
 use super::orders::LeaderAnswer;
 use super::{Due, Simulation, SNAPSHOT_EVERY_ENTRIES};
+use consensus::codec::{from_bytes, to_bytes};
 use consensus::node::{Effect, Input, Node, PersistedState, Write};
-use consensus::pack::{packed, unpacked};
 use consensus::wal::WriteAheadLog;
 use consensus::{Entry, EntryPayload, LogIndex, NodeId};
 use residency::{Outcome, Proposal, State};
@@ -62,7 +62,7 @@
         if !live.is_disk_dead {
             return Ok(());
         }
-        match live.log.reopened() {
+        match live.log.reopen() {
             Ok((log, persisted)) => self.begin(at, log, persisted),
             Err(error) => self.fail(format!("node-{at} can't take its disk back: {error}")),
         }
@@ -144,7 +144,7 @@
         };
         // What `due` promises: before it, a beat finds nothing to do.
         let is_tick = matches!(input, Input::Tick);
-        let is_early = is_tick && live.is_idle && live.node.due() > now;
+        let is_early = is_tick && live.is_idle && live.node.next_deadline() > now;
         let before = (live.node.role(), live.node.leader());
         live.is_idle = is_tick;
         let effects = live.node.step(now, input);
@@ -188,7 +188,7 @@
                     }
                 }
             }
-            Effect::Refused(token, _) => {
+            Effect::Rejected(token, _) => {
                 self.open_reads.remove(&token);
                 self.answer_from_leader(at, token, LeaderAnswer::Refused);
             }
@@ -213,7 +213,7 @@
         entry: &Entry,
         token: Option<u64>,
     ) -> Result<(), String> {
-        let sum = policy::mark(&packed(entry));
+        let sum = policy::mark(&to_bytes(entry));
         match self.applied.get(&entry.index) {
             Some(known) if *known != sum => {
                 return self.fail(format!("node-{at} applied another entry {}", entry.index))
@@ -224,7 +224,7 @@
         let live = self.machines[at].live.as_mut().expect("it just stepped");
         let mut given = None;
         if let EntryPayload::Command(bytes) = &entry.payload {
-            let proposal: Proposal = unpacked(bytes)?;
+            let proposal: Proposal = from_bytes(bytes)?;
             let before = live.state.epoch();
             let (outcome, _) = live.state.apply(entry.index, &proposal);
             if live.state.epoch() < before {
@@ -263,7 +263,7 @@
         let Some(live) = self.machines[at].live.as_mut() else {
             return Ok(());
         };
-        let index = live.node.applied();
+        let index = live.node.applied_index();
         if index < live.snapshot_at + SNAPSHOT_EVERY_ENTRIES {
             return Ok(());
         }
--- a/simulator/src/network.rs
+++ b/simulator/src/network.rs
@@ -1,7 +1,7 @@
 //! The network between the machines: cuts, loss, duplicates, delay.
 
 use super::{Due, Simulation};
-use consensus::pack::{packed, unpacked};
+use consensus::codec::{from_bytes, to_bytes};
 use consensus::Message;
 
 /// Connections are given up after so long.
@@ -35,7 +35,7 @@
         for _ in 0..copies {
             let delay = 1 + self.draw(self.weather.delay);
             // Messages pass each other, and all go through bytes.
-            let message = unpacked(&packed(&message)).expect("a message reads back");
+            let message = from_bytes(&to_bytes(&message)).expect("a message reads back");
             self.due(delay, Due::Deliver(message));
         }
     }
--- a/simulator/src/orders.rs
+++ b/simulator/src/orders.rs
@@ -5,8 +5,8 @@
 use super::history::{Intent, Response};
 use super::operators::{OperatorEvent, PlantedFault};
 use super::{Due, Simulation};
+use consensus::codec::to_bytes;
 use consensus::node::{Input, Role};
-use consensus::pack::packed;
 use consensus::LogIndex;
 use residency::{Command, ConfigDocument, Name, Outcome, Proposal, State};
 
@@ -155,7 +155,7 @@
             .live
             .as_ref()
             .expect("looked at by the caller");
-        if live.node.applied() < index {
+        if live.node.applied_index() < index {
             self.due(10, Due::Operator(OperatorEvent::Continues(id)));
             return Ok(());
         }
@@ -208,7 +208,7 @@
         let token = self.tokens;
         let input = match &question.proposal {
             None => Input::ReadIndex(token),
-            Some(proposal) => Input::Propose(token, packed(proposal)),
+            Some(proposal) => Input::Propose(token, to_bytes(proposal)),
         };
         let is_proposal = matches!(input, Input::Propose(..));
         if !is_proposal {
--- a/simulator/src/weather.rs
+++ b/simulator/src/weather.rs
@@ -47,7 +47,7 @@
         };
         match self.losses {
             Some(plan) => Timing {
-                replace_after_ms: plan.catch_up_ms / 4,
+                replace_voter_after_ms: plan.catch_up_ms / 4,
                 ..timing
             },
             None => timing,
--- a/simulator/tests/wal.rs
+++ b/simulator/tests/wal.rs
@@ -2,7 +2,7 @@
 //! node.
 
 use consensus::node::Write;
-use consensus::wal::{Files, WriteAheadLog, FORMAT};
+use consensus::wal::{LogStorage, WriteAheadLog, FORMAT_VERSION};
 use consensus::{Entry, EntryPayload, HardState, Membership, Snapshot};
 use simulator::MemoryFiles;
 
@@ -168,7 +168,7 @@
         .err()
         .expect("another format is seen")
         .to_string();
-    let wanted = format!("format is epoch {}, ", FORMAT ^ 0x10);
+    let wanted = format!("format is epoch {}, ", FORMAT_VERSION ^ 0x10);
     assert!(error.contains(&wanted), "{error}");
 }
 
@@ -186,9 +186,9 @@
         segments
             .write(&[entry(3 + turn, 1)])
             .expect_err("it is full");
-        assert!(segments.reopened().is_err(), "it is full still");
+        assert!(segments.reopen().is_err(), "it is full still");
         files.set_full(false);
-        let (again, kept) = segments.reopened().expect("there is room again");
+        let (again, kept) = segments.reopen().expect("there is room again");
         segments = again;
         assert_eq!(kept.entries.len() as u64, 2 + turn);
         segments
@@ -201,7 +201,7 @@
     segments.write(&[entry(6, 1)]).expect_err("the sync fails");
     files.set_full(false);
     files.clone().crash_after(u32::MAX);
-    let (_, kept) = segments.reopened().expect("it is read back");
+    let (_, kept) = segments.reopen().expect("it is read back");
     assert_eq!(kept.entries.len(), 5, "what was not synced is cut off");
 }
 
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -115,7 +115,7 @@
             region: "north".into(),
             zone: "north-a".into(),
             address: address.clone(),
-            desk: address,
+            operator_address: address,
         };
         let news = News {
             is_first: 1,
