--- a/consensus/src/node/membership.rs
+++ b/consensus/src/node/membership.rs
@@ -1,6 +1,6 @@
 //! Changes of membership: one at a time, each settled before the next.
 
-use super::{Effect, Node, RequestError, Role, Token};
+use super::{Effect, MembershipChangeError, Node, RequestError, Role, Token};
 use crate::repair::{self, MemberHealth, MembershipChange, NoChange, RepairPolicy};
 use crate::{Entry, EntryPayload, HardState, LogIndex, Member, Membership, NodeId};
 
@@ -59,6 +59,10 @@
         }
     }
 
+    fn reject_change(&mut self, token: Token, error: MembershipChangeError) {
+        self.effects.push(Effect::Rejected(token, error.into()));
+    }
+
     pub(super) fn add_learner(&mut self, token: Token, member: Member) {
         if self.role != Role::Leader {
             return self
@@ -71,18 +75,10 @@
             }
         }
         if !self.can_change_membership() {
-            let text = "a change of membership is under way".into();
-            return self.effects.push(Effect::Rejected(
-                token,
-                RequestError::InvalidMembershipChange(text),
-            ));
+            return self.reject_change(token, MembershipChangeError::ChangeInProgress);
         }
         if self.members.retired.contains(&member.identity) {
-            let text = "this identity was retired; the node may come as a blank one".into();
-            return self.effects.push(Effect::Rejected(
-                token,
-                RequestError::InvalidMembershipChange(text),
-            ));
+            return self.reject_change(token, MembershipChangeError::RetiredIdentity);
         }
         let mut members = self.members.clone();
         if let Some(known) = members
@@ -104,11 +100,7 @@
                     .get(&old)
                     .is_some_and(|p| self.now - p.last_heard < 2 * self.timing.election_timeout_ms);
             if is_alive {
-                let text = format!("a node named {} is alive", member.name);
-                return self.effects.push(Effect::Rejected(
-                    token,
-                    RequestError::InvalidMembershipChange(text),
-                ));
+                return self.reject_change(token, MembershipChangeError::NameInUse(member.name));
             }
             return self.remove_member(token, old);
         }
@@ -117,26 +109,19 @@
     }
 
     pub(super) fn remove_member(&mut self, token: Token, identity: NodeId) {
-        let refuse = |text: &str| {
-            Effect::Rejected(token, RequestError::InvalidMembershipChange(text.into()))
-        };
         if self.role != Role::Leader {
             return self
                 .effects
                 .push(Effect::Rejected(token, RequestError::NotLeader));
         }
         if !self.can_change_membership() {
-            return self
-                .effects
-                .push(refuse("a change of membership is under way"));
+            return self.reject_change(token, MembershipChangeError::ChangeInProgress);
         }
         if self.members.get(identity).is_none() {
-            return self.effects.push(refuse("there is no such member"));
+            return self.reject_change(token, MembershipChangeError::UnknownMember);
         }
         if identity == self.identity {
-            return self
-                .effects
-                .push(refuse("the leader retires only after handing over"));
+            return self.reject_change(token, MembershipChangeError::RemovesLeader);
         }
         let mut members = self.members.clone();
         members.voters.retain(|member| member.identity != identity);
@@ -220,11 +205,7 @@
                 .push(Effect::Rejected(token, RequestError::NotLeader));
         }
         if identity == self.identity {
-            let text = "the leader leaves only after transferring leadership".into();
-            return self.effects.push(Effect::Rejected(
-                token,
-                RequestError::InvalidMembershipChange(text),
-            ));
+            return self.reject_change(token, MembershipChangeError::LeaderLeaves);
         }
         if let Some(peer) = self.peers.get_mut(&identity) {
             peer.leaving_at = Some(self.now);
@@ -232,11 +213,7 @@
         if self.may_leave(identity) {
             return self.effects.push(Effect::ReadReady(token, self.commit));
         }
-        let text = "not yet: it is being replaced, or others lack what counts".into();
-        self.effects.push(Effect::Rejected(
-            token,
-            RequestError::InvalidMembershipChange(text),
-        ));
+        self.reject_change(token, MembershipChangeError::NotReplaced);
     }
 
     fn may_leave(&self, identity: NodeId) -> bool {
--- a/consensus/src/node/mod.rs
+++ b/consensus/src/node/mod.rs
@@ -19,7 +19,8 @@
 mod types;
 
 pub use types::{
-    Effect, Input, PersistedState, RequestError, Role, SnapshotPolicy, Timing, Token, Write,
+    Effect, Input, MembershipChangeError, PersistedState, RequestError, Role, SnapshotPolicy,
+    Timing, Token, Write,
 };
 
 /// How far another node is. Invariant: `matched` is only what that node said
--- a/consensus/src/node/types.rs
+++ b/consensus/src/node/types.rs
@@ -84,20 +84,53 @@
 }
 
 /// Why a request was rejected.
-#[derive(Debug, Clone, PartialEq, Hash)]
+#[derive(Debug, Clone, PartialEq, Hash, thiserror::Error)]
 pub enum RequestError {
-    /// This node is not the leader.
+    /// Nothing was appended: this node is not the leader. The request may be sent to the
+    /// leader.
+    #[error("this node is not the leader")]
     NotLeader,
-    /// Too many requests are open, or the disk is stalled; try again later.
+    /// Nothing was appended: too many requests are pending, or the disk is stalled. The
+    /// request may be repeated later.
+    #[error("too many requests are pending, or the disk is stalled")]
     Busy,
-    /// A change of membership is under way, or this one is not possible; the text says
-    /// why.
-    InvalidMembershipChange(String),
-    /// Leadership was lost before the entry was known to be committed; it may or may
-    /// not be.
+    /// The membership was not changed.
+    #[error(transparent)]
+    InvalidMembershipChange(#[from] MembershipChangeError),
+    /// Leadership was lost before the entry was known to be committed: it may or may
+    /// not become committed, so a repeated request must be idempotent.
+    #[error("leadership was lost before the entry was known to be committed")]
     LeadershipLost,
 }
 
+/// Why a requested change of membership was not made. The membership is unchanged, so
+/// the request may be repeated.
+#[derive(Debug, Clone, PartialEq, Hash, thiserror::Error)]
+pub enum MembershipChangeError {
+    /// Only one change is made at a time (Raft thesis §4.1); the one before is not
+    /// committed yet.
+    #[error("a change of membership is under way")]
+    ChangeInProgress,
+    /// The identity was removed before and is never admitted again.
+    #[error("this identity was retired; the node may come as a blank one")]
+    RetiredIdentity,
+    /// Another member has this name and is alive.
+    #[error("a node named {0} is alive")]
+    NameInUse(String),
+    /// No member has this identity.
+    #[error("there is no such member")]
+    UnknownMember,
+    /// A leader does not remove itself.
+    #[error("the leader retires only after handing over")]
+    RemovesLeader,
+    /// A leader must transfer leadership before it stops.
+    #[error("the leader leaves only after transferring leadership")]
+    LeaderLeaves,
+    /// The member must wait before it stops, and ask again.
+    #[error("not yet: it is being replaced, or others lack what counts")]
+    NotReplaced,
+}
+
 /// One change of what is on disk.
 #[derive(Debug, Clone, PartialEq, Hash)]
 pub enum Write {
--- a/consensus/src/repair.rs
+++ b/consensus/src/repair.rs
@@ -46,23 +46,16 @@
 }
 
 /// Why no change is made.
-#[derive(Clone, Copy, Debug, PartialEq)]
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum NoChange {
     /// Nothing is to be repaired.
+    #[error("nothing to repair")]
     NothingToRepair,
     /// Voters are missing or to be replaced, and no learner has caught up.
+    #[error("waits for a learner that has caught up")]
     NoReadyLearner,
 }
 
-impl std::fmt::Display for NoChange {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(match self {
-            NoChange::NothingToRepair => "nothing to repair",
-            NoChange::NoReadyLearner => "waits for a learner that has caught up",
-        })
-    }
-}
-
 /// Says which change comes next, or why none does. `leader` is never demoted.
 pub fn next_change(
     voters: &[MemberHealth],
--- a/directory/src/driver/thread/mod.rs
+++ b/directory/src/driver/thread/mod.rs
@@ -366,8 +366,8 @@
                         let reply = match no {
                             RequestError::NotLeader => PeerResponse::NotLeader,
                             RequestError::Busy => PeerResponse::Busy,
-                            RequestError::InvalidMembershipChange(text) => {
-                                PeerResponse::Unfit(residency::Name(text))
+                            RequestError::InvalidMembershipChange(error) => {
+                                PeerResponse::Unfit(residency::Name(error.to_string()))
                             }
                             RequestError::LeadershipLost => PeerResponse::Lost,
                         };
