--- a/protocol/tests/formats/state.rs
+++ b/protocol/tests/formats/state.rs
@@ -3,7 +3,7 @@
 use crate::bytes::{allowance, config, edited, edits};
 use crate::frames::{commands, events};
 use crate::memory::peak;
-use consensus::codec::{to_bytes, from_bytes};
+use consensus::codec::{from_bytes, to_bytes};
 use proptest::prelude::*;
 use proptest::sample::Index;
 use residency::{Proposal, State, Topology, View};
--- a/residency/src/state/snapshot.rs
+++ b/residency/src/state/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::fence::LastChanged;
 use crate::{topology, Event, Name, Topology, View};
 use binrw::binrw;
-use consensus::codec::{to_bytes, read_list, from_bytes, write_list};
+use consensus::codec::{from_bytes, read_list, to_bytes, write_list};
 use simd_json::prelude::*;
 
 #[binrw]
