--- a/checker/src/ground.rs
+++ b/checker/src/ground.rs
@@ -45,7 +45,7 @@
         for (name, is_engine, region, zone, slots) in places {
             let (name, region) = (name.to_string(), region.to_string());
             if is_engine {
-                let point = (slots as f64 * book.set_points.fill).ceil() as u64;
+                let point = (slots as f64 * book.set_points.target_utilization).ceil() as u64;
                 ground.engine_zones.insert(name.clone(), zone.to_string());
                 ground.engine_slots.insert(name.clone(), (slots, point));
                 ground.engine_regions.insert(name, region);
--- a/directory/src/forwarded_requests.rs
+++ b/directory/src/forwarded_requests.rs
@@ -8,7 +8,7 @@
 use dispatch::{headers_of, headers_to, step, Carried, Parts, Piped};
 use http_body_util::BodyExt;
 use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
-use policy::{Extract, Field, Head, Prompt};
+use policy::{ExtractedKey, KeyField, Prompt, RequestHead};
 use protocol::{Frame, JobHead};
 use residency::Mapping;
 use std::pin::pin;
@@ -104,7 +104,7 @@
         .program
         .routes
         .get(route)
-        .is_some_and(|r| r.repeatable);
+        .is_some_and(|route| route.is_idempotent);
     let mut job = RequestStateMachine::new(is_repeatable);
     step(&mut job, RequestEvent::RoutingKeyExtracted);
     step(&mut job, RequestEvent::MappingResolved);
@@ -124,7 +124,7 @@
         urgency: None,
         aim_ms: 0,
     };
-    let prefix = extract.prefix.unwrap_or(0);
+    let prefix = extract.prefix_hash.unwrap_or(0);
     let mut upload = pin!(upload(&mut reader, pieces, is_ended));
     let answer = {
         let mut work =
@@ -204,7 +204,7 @@
 /// A job whose key was found and resolved.
 struct Found {
     mapping: Mapping,
-    extract: Extract,
+    extract: ExtractedKey,
     key: String,
     held: Bytes,
     is_ended: bool,
@@ -232,20 +232,20 @@
     };
     let headers = headers_of(&head.headers)?;
     // The door's own view of the job, as the rules read it.
-    let with_head = |ask: &mut dyn FnMut(&Head)| {
+    let with_head = |ask: &mut dyn FnMut(&RequestHead)| {
         let (path, query) = head.target.split_once('?').unwrap_or((&head.target, ""));
         let header = |name: &str| headers.get(name)?.to_str().ok().map(String::from);
-        let draw = policy::mark(head.id.as_bytes());
-        ask(&Head {
+        let split_seed = policy::stable_hash(head.id.as_bytes());
+        ask(&RequestHead {
             method: &head.method,
             path,
             query,
             header: &header,
-            draw,
+            split_seed,
         });
     };
     let mut route = None;
-    with_head(&mut |head| route = view.program.route(head));
+    with_head(&mut |head| route = view.program.match_route(head));
     let Some(route) = route else {
         return Ok(Err(Refusal::not_run(
             404,
@@ -266,25 +266,25 @@
         with_head(&mut |head| {
             extract = Some(
                 view.program
-                    .extract(route, head, &held, is_ended, SEARCH_CAP),
+                    .extract_key(route, head, &held, is_ended, SEARCH_CAP),
             );
         });
         match extract {
-            Some(extract) if is_ended || held.len() >= SEARCH_CAP || extract.is_settled() => {
+            Some(extract) if is_ended || held.len() >= SEARCH_CAP || extract.is_complete() => {
                 break extract
             }
             _ => {}
         }
     };
     let refuse = |status, code, text: &str| Ok(Err(Refusal::not_run(status, code, text)));
-    let Field::Known(key) = &extract.tenant else {
+    let KeyField::Known(key) = &extract.tenant else {
         return refuse(401, "no-key", "no tenant key is to be found in this job");
     };
-    let key = policy::fingerprint(key);
+    let key = policy::sha256_hex(key);
     let Some(tenant) = view.keys.get(&key) else {
         return refuse(401, "unknown-key", "this tenant key is not known");
     };
-    let Field::Known(service) = &extract.service else {
+    let KeyField::Known(service) = &extract.service else {
         return refuse(400, "no-model", "no model is to be found in this job");
     };
     // Looked at after the body, which may have taken long to come.
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -250,7 +250,7 @@
         "recent": control.driver.lease_valid(),
         "engine": engine,
         "why": why,
-        "engines": control.dispatcher.roster.value(view.program.points.fill),
+        "engines": control.dispatcher.roster.value(view.program.set_points.target_utilization),
     });
     web::json(200, &value)
 }
@@ -355,7 +355,7 @@
     let digest = || {
         let key = text("key")?;
         match (8..=256).contains(&key.len()) {
-            true => Ok(policy::fingerprint(&key)),
+            true => Ok(policy::sha256_hex(&key)),
             false => Err("key: a tenant key has 8 to 256 characters".to_string()),
         }
     };
--- a/placement/src/engines.rs
+++ b/placement/src/engines.rs
@@ -152,7 +152,7 @@
             new.push(engine.clone());
             let known = Known {
                 engine: engine.clone(),
-                mark: policy::mark(name.as_bytes()),
+                mark: policy::stable_hash(name.as_bytes()),
                 vitals: None,
                 heard: now,
                 own: 0,
@@ -235,7 +235,7 @@
             if !is_heard || !may_have(view, mapping, name, &engine.address) {
                 continue;
             }
-            let limit = known.limit(view.program.points.fill);
+            let limit = known.limit(view.program.set_points.target_utilization);
             let place = match vitals.is_cold() {
                 true => Some(known.seats.free(now, limit, known.mark, me, peers)),
                 false => None,
--- a/placement/src/estimates.rs
+++ b/placement/src/estimates.rs
@@ -79,7 +79,7 @@
     fn new(now: u64, engine: &Engine) -> Known {
         Known {
             engine: engine.clone(),
-            mark: policy::mark(engine.name.as_bytes()),
+            mark: policy::stable_hash(engine.name.as_bytes()),
             own: 0,
             reading: 0.0,
             others: HashMap::new(),
@@ -103,7 +103,7 @@
         for (place, part) in prompt.parts.iter().enumerate() {
             is_kept &= self
                 .kept
-                .get(&part.chain)
+                .get(&part.prefix_hash)
                 .is_some_and(|at| now < at + KEPT_MS);
             match is_kept {
                 true => kept += part.tokens,
@@ -112,7 +112,7 @@
             }
         }
         (
-            f64::from(prompt.tokens_in.saturating_sub(kept)),
+            f64::from(prompt.input_tokens.saturating_sub(kept)),
             f64::from(shared),
         )
     }
@@ -237,7 +237,7 @@
             let cost = (reading + unread + SHARED * shared) / READ_PACE
                 + known.excess(now)
                 + f64::from(jobs)
-                    * if wanted.prompt.tokens_in == 0 {
+                    * if wanted.prompt.input_tokens == 0 {
                         12.0
                     } else {
                         1.0
@@ -355,9 +355,9 @@
         known.reading += unread;
         let last = prompt.parts.len().saturating_sub(1);
         for (place, part) in prompt.parts.iter().enumerate() {
-            let before = known.kept.insert(part.chain, now);
+            let before = known.kept.insert(part.prefix_hash, now);
             if place < last && before.is_none_or(|at| now >= at + KEPT_AGAIN_MS) {
-                self.kept.push((name.to_string(), part.chain));
+                self.kept.push((name.to_string(), part.prefix_hash));
             }
         }
         if known.kept.len() > 4_096 {
--- a/placement/tests/estimates.rs
+++ b/placement/tests/estimates.rs
@@ -1,7 +1,7 @@
 //! Electing by answers alone: where a job goes, and what cold engines get.
 
 use placement::{Chosen, Estimates, Wanted};
-use policy::{Part, Prompt};
+use policy::{Prompt, PromptPart};
 use residency::{Cell, Engine, EngineState, Event, Mapping, Name, ServiceLimits, View, Zone};
 
 const SERVICE: &str = "writer";
@@ -62,19 +62,19 @@
 
 fn prompt(shared: u64, own: u64) -> Prompt {
     let parts = vec![
-        Part {
-            chain: shared,
+        PromptPart {
+            prefix_hash: shared,
             tokens: 5_000,
         },
-        Part {
-            chain: shared ^ own,
+        PromptPart {
+            prefix_hash: shared ^ own,
             tokens: 6_000,
         },
     ];
     Prompt {
         parts,
-        tokens_in: 11_000,
-        tokens_out: 300,
+        input_tokens: 11_000,
+        max_output_tokens: 300,
     }
 }
 
@@ -87,7 +87,7 @@
 ) -> Option<String> {
     let wanted = Wanted {
         prompt,
-        prefix: prompt.prefix(),
+        prefix: prompt.shared_prefix_hash(),
         avoid,
     };
     match estimates.elect(now, view, &mapping(), &wanted, 1, &[1]) {
--- a/policy/src/body.rs
+++ b/policy/src/body.rs
@@ -2,15 +2,15 @@
 
 /// What a look at the beginning of a body gave.
 #[derive(Debug, PartialEq)]
-pub enum Find {
+pub enum FieldSearch {
     /// The raw text of the value, without quotes. `whole` is false when the
     /// body so far ends within it.
     Found {
         raw: Vec<u8>,
-        whole: bool,
+        is_complete: bool,
     },
     /// The body so far ends before the field could be seen or ruled out.
-    More,
+    Incomplete,
     Absent,
     /// Not JSON, or nested past the bound, at this offset.
     Malformed(usize),
@@ -153,7 +153,7 @@
 /// Looks for the field at `path`. `ended` says that no more body will come,
 /// so that an unfinished document is malformed rather than in want of more.
 /// Where a name stands twice, the first counts.
-pub fn find(text: &[u8], path: &[String], ended: bool) -> Find {
+pub fn find_field(text: &[u8], path: &[String], ended: bool) -> FieldSearch {
     let mut cursor = Cursor { text, at: 0 };
     let mut start = 0;
     let mut look = || -> Result<Option<(usize, usize)>, Stop> {
@@ -170,18 +170,18 @@
         }
     };
     match look() {
-        Ok(Some((from, to))) => Find::Found {
+        Ok(Some((from, to))) => FieldSearch::Found {
             raw: text[from..to].to_vec(),
-            whole: true,
+            is_complete: true,
         },
-        Ok(None) => Find::Absent,
-        Err(Stop::Bad(at)) => Find::Malformed(at),
-        Err(Stop::End) if ended => Find::Malformed(text.len()),
-        Err(Stop::End) if start > 0 => Find::Found {
+        Ok(None) => FieldSearch::Absent,
+        Err(Stop::Bad(at)) => FieldSearch::Malformed(at),
+        Err(Stop::End) if ended => FieldSearch::Malformed(text.len()),
+        Err(Stop::End) if start > 0 => FieldSearch::Found {
             raw: text[start..].to_vec(),
-            whole: false,
+            is_complete: false,
         },
-        Err(Stop::End) => Find::More,
+        Err(Stop::End) => FieldSearch::Incomplete,
     }
 }
 
@@ -191,11 +191,11 @@
 
     #[test]
     fn fields_are_found_in_whole_and_partial_bodies() {
-        let found = |raw: &str, whole| Find::Found {
+        let found = |raw: &str, whole| FieldSearch::Found {
             raw: raw.into(),
-            whole,
+            is_complete: whole,
         };
-        let cases: Vec<(&str, &str, bool, Find)> = vec![
+        let cases: Vec<(&str, &str, bool, FieldSearch)> = vec![
             (r#"{"model":"a"}"#, "model", true, found("a", true)),
             (
                 r#"{"x":[1,{"model":"no"}],"model":"a""#,
@@ -206,20 +206,20 @@
             (r#"{"a":{"k":"v"}}"#, "a.k", true, found("v", true)),
             (r#"{"a":7}"#, "a", true, found("7", true)),
             (r#"{"a":"par"#, "a", false, found("par", false)),
-            (r#"{"a":"par"#, "a", true, Find::Malformed(9)),
-            (r#"{"b":1"#, "a", false, Find::More),
-            (r#"{"b":1}"#, "a", true, Find::Absent),
-            (r#"{}"#, "a", true, Find::Absent),
-            ("", "a", true, Find::Malformed(0)),
-            ("[1]", "a", true, Find::Malformed(0)),
-            (r#"{"b":zzz,"a":1}"#, "a", true, Find::Malformed(5)),
-            (r#"{"b":[}],"a":1}"#, "a", true, Find::Malformed(6)),
-            (r#"{"a":{"b":1}}"#, "a", true, Find::Absent),
+            (r#"{"a":"par"#, "a", true, FieldSearch::Malformed(9)),
+            (r#"{"b":1"#, "a", false, FieldSearch::Incomplete),
+            (r#"{"b":1}"#, "a", true, FieldSearch::Absent),
+            (r#"{}"#, "a", true, FieldSearch::Absent),
+            ("", "a", true, FieldSearch::Malformed(0)),
+            ("[1]", "a", true, FieldSearch::Malformed(0)),
+            (r#"{"b":zzz,"a":1}"#, "a", true, FieldSearch::Malformed(5)),
+            (r#"{"b":[}],"a":1}"#, "a", true, FieldSearch::Malformed(6)),
+            (r#"{"a":{"b":1}}"#, "a", true, FieldSearch::Absent),
             (r#"{"q":"\"a\":","a":"x"}"#, "a", true, found("x", true)),
         ];
         for (text, path, ended, wanted) in cases {
             let path: Vec<String> = path.split('.').map(String::from).collect();
-            assert_eq!(find(text.as_bytes(), &path, ended), wanted, "{text}");
+            assert_eq!(find_field(text.as_bytes(), &path, ended), wanted, "{text}");
         }
     }
 
@@ -227,8 +227,8 @@
     fn endless_nesting_is_refused_at_the_bound() {
         let text = format!("{{\"b\":{}", "[".repeat(1000));
         assert!(matches!(
-            find(text.as_bytes(), &["a".into()], false),
-            Find::Malformed(_)
+            find_field(text.as_bytes(), &["a".into()], false),
+            FieldSearch::Malformed(_)
         ));
     }
 
@@ -238,10 +238,10 @@
         fn a_cut_body_never_gives_another_value(cut in 0usize..60, value in "[a-z]{1,12}") {
             let text = format!(r#"{{"pad":{{"k":[1,2,"x"]}},"model":"{value}","z":1}}"#);
             let cut = cut.min(text.len());
-            match find(&text.as_bytes()[..cut], &["model".into()], false) {
-                Find::Found { raw, whole: true } => assert_eq!(raw, value.as_bytes()),
-                Find::Found { raw, whole: false } => assert!(value.as_bytes().starts_with(&raw)),
-                Find::More => {}
+            match find_field(&text.as_bytes()[..cut], &["model".into()], false) {
+                FieldSearch::Found { raw, is_complete: true } => assert_eq!(raw, value.as_bytes()),
+                FieldSearch::Found { raw, is_complete: false } => assert!(value.as_bytes().starts_with(&raw)),
+                FieldSearch::Incomplete => {}
                 other => panic!("{other:?}"),
             }
         }
--- a/policy/src/compile.rs
+++ b/policy/src/compile.rs
@@ -1,19 +1,19 @@
 //! The compiler: text to tables, with every complaint and its place at once.
 
-use crate::{Door, Program, Route, SetPoints, Source, Target};
+use crate::{Ingress, Program, Route, SetPoints, Source, Target};
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::fmt;
 
 /// What is wrong with a text, and where; both counts begin at 1.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Complaint {
+pub struct CompileError {
     pub line: usize,
     pub column: usize,
     pub text: String,
 }
 
-impl fmt::Display for Complaint {
+impl fmt::Display for CompileError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
@@ -24,7 +24,7 @@
 }
 
 /// Reads `250ms`, `30s`, `5m` or `24h` as milliseconds.
-pub fn parse_span(text: &str) -> Option<u64> {
+pub fn parse_duration_ms(text: &str) -> Option<u64> {
     let split = text.find(|c: char| !c.is_ascii_digit())?;
     let count: u64 = text[..split].parse().ok()?;
     let unit = match &text[split..] {
@@ -51,7 +51,7 @@
     end: usize,
 }
 
-type Checked<T> = Result<T, Complaint>;
+type Checked<T> = Result<T, CompileError>;
 
 impl Line {
     fn split(number: usize, text: &str) -> Checked<Line> {
@@ -77,7 +77,7 @@
                     word.push(c);
                 }
                 if !is_closed {
-                    return Err(Complaint {
+                    return Err(CompileError {
                         line: number,
                         column,
                         text: "this text has no closing quote".into(),
@@ -104,7 +104,7 @@
     }
 
     fn complaint<T>(&self, column: usize, text: impl Into<String>) -> Checked<T> {
-        Err(Complaint {
+        Err(CompileError {
             line: self.number,
             column,
             text: text.into(),
@@ -164,7 +164,7 @@
     }
 
     fn span(&mut self) -> Checked<u64> {
-        match parse_span(&self.word("a time")?) {
+        match parse_duration_ms(&self.word("a time")?) {
             Some(span) if span > 0 => Ok(span),
             _ => self.about("a time such as 250ms, 30s, 5m or 24h should stand here"),
         }
@@ -225,9 +225,9 @@
     }
 }
 
-fn door(line: &mut Line, program: &Program) -> Checked<Door> {
+fn door(line: &mut Line, program: &Program) -> Checked<Ingress> {
     let name = line.name()?;
-    if program.doors.iter().any(|door| door.name == name) {
+    if program.ingresses.iter().any(|door| door.name == name) {
         return line.about(format!("there is a door {name} already"));
     }
     line.keyword("at")?;
@@ -244,11 +244,11 @@
         }
         false => None,
     };
-    Ok(Door {
+    Ok(Ingress {
         name,
-        at,
-        tenant,
-        model,
+        path_prefix: at,
+        tenant_source: tenant,
+        model_source: model,
     })
 }
 
@@ -259,7 +259,7 @@
     }
     line.keyword("on")?;
     let on = line.name()?;
-    let Some(door) = program.doors.iter().position(|door| door.name == on) else {
+    let Some(door) = program.ingresses.iter().position(|door| door.name == on) else {
         return line.about(format!("no door {on} stands above this line"));
     };
     let method = line.word("a method or `any`")?;
@@ -270,23 +270,23 @@
         return line.about("a method is GET, HEAD, POST, PUT, PATCH, DELETE or any");
     }
     let path = line.path()?;
-    let open = path.ends_with('*');
+    let is_path_prefix = path.ends_with('*');
     let path = path.trim_end_matches('*').to_string();
-    if !path.starts_with(&program.doors[door].at) || path.contains('*') {
+    if !path.starts_with(&program.ingresses[door].path_prefix) || path.contains('*') {
         return line.about(format!(
             "the path stands below {} and has one * at most, at its end",
-            program.doors[door].at
+            program.ingresses[door].path_prefix
         ));
     }
     line.keyword("to")?;
     let target = match line.word("`model`, `service` or `split`")?.as_str() {
-        "model" if program.doors[door].model.is_some() => Target::Model,
+        "model" if program.ingresses[door].model_source.is_some() => Target::Model,
         "model" => return line.about(format!("door {on} says nothing of where the model stands")),
         "service" => Target::Service(line.name()?),
         "split" => Target::Split(split(line)?),
         _ => return line.about("`model`, `service` or `split` should stand here"),
     };
-    let repeatable = match line.word("`once` or `repeatable`")?.as_str() {
+    let is_idempotent = match line.word("`once` or `repeatable`")?.as_str() {
         "once" => false,
         "repeatable" => true,
         _ => return line.about("`once` or `repeatable` should stand here"),
@@ -294,48 +294,48 @@
     let method = (method != "any").then_some(method);
     let mut route = Route {
         name,
-        door,
+        ingress: door,
         host: None,
         method,
         path,
-        open,
+        is_path_prefix,
         target,
-        repeatable,
+        is_idempotent,
         deadline_ms: 60_000,
-        prefix: None,
-        parts: None,
-        size: None,
-        homes: Vec::new(),
+        prompt_prefix: None,
+        prompt_parts: None,
+        prompt_size: None,
+        home_regions: Vec::new(),
         urgency: None,
-        rounds: None,
-        aim_ms: None,
+        max_attempts: None,
+        latency_target_ms: None,
         is_public: false,
-        resumes: false,
-        is_stream: false,
+        is_resumable: false,
+        is_streaming: false,
     };
     while line.next < line.words.len() {
         match line.word("a clause")?.as_str() {
             "deadline" => route.deadline_ms = line.span()?,
             "prefix" => {
                 let source = line.source()?;
-                route.prefix = Some((source, line.count("a length", 16_384)?));
+                route.prompt_prefix = Some((source, line.count("a length", 16_384)?));
             }
             "host" => route.host = Some(line.text("a host's name")?),
-            "parts" => route.parts = Some(line.cheap_source()?),
-            "size" => route.size = Some(line.cheap_source()?),
+            "parts" => route.prompt_parts = Some(line.cheap_source()?),
+            "size" => route.prompt_size = Some(line.cheap_source()?),
             "homes" => {
                 let homes = line.text("regions with commas between")?;
-                route.homes = homes
+                route.home_regions = homes
                     .split(',')
                     .map(|home| home.trim().to_string())
                     .collect();
             }
             "urgency" => route.urgency = Some(line.count("an urgency", 10)? as u8 - 1),
-            "rounds" => route.rounds = Some(line.count("a count", 16)? as u32),
-            "aim" => route.aim_ms = Some(line.span()?),
+            "rounds" => route.max_attempts = Some(line.count("a count", 16)? as u32),
+            "aim" => route.latency_target_ms = Some(line.span()?),
             "public" => route.is_public = true,
-            "resume" => route.resumes = true,
-            "stream" => route.is_stream = true,
+            "resume" => route.is_resumable = true,
+            "stream" => route.is_streaming = true,
             _ => {
                 return line.about(
                     "a clause is deadline, prefix, host, parts, size, homes, urgency, rounds, \
@@ -348,7 +348,7 @@
         route.host.is_some()
             && other.host == route.host
             && other.path == route.path
-            && other.open == route.open
+            && other.is_path_prefix == route.is_path_prefix
             && (other.method == route.method || other.method.is_none() || route.method.is_none())
     };
     if let Some(other) = program.routes.iter().find(is_same) {
@@ -380,8 +380,8 @@
 
 fn set(line: &mut Line, points: &mut SetPoints) -> Checked<()> {
     match line.word("a set point")?.as_str() {
-        "fill" => points.fill = line.share()?.max(0.05),
-        "retries" => points.retries = line.share()?.min(0.2),
+        "fill" => points.target_utilization = line.share()?.max(0.05),
+        "retries" => points.retry_ratio = line.share()?.min(0.2),
         "fresh" => points.fresh_ms = line.span()?,
         "expire" => points.expire_ms = line.span()?,
         _ => return line.about("a set point is fill, retries, fresh or expire"),
@@ -391,12 +391,12 @@
 
 /// Compiles a text. Either the whole of it is taken, or each line's first
 /// complaint is returned and nothing is.
-pub fn compile(text: &str) -> Result<Program, Vec<Complaint>> {
+pub fn compile(text: &str) -> Result<Program, Vec<CompileError>> {
     let hosts = HashMap::new();
     let mut program = Program {
-        doors: Vec::new(),
+        ingresses: Vec::new(),
         routes: Vec::new(),
-        points: SetPoints::default(),
+        set_points: SetPoints::default(),
         hosts,
     };
     let mut complaints = Vec::new();
@@ -409,13 +409,13 @@
             match line.word("a statement")?.as_str() {
                 "door" => {
                     let door = door(&mut line, &program)?;
-                    program.doors.push(door);
+                    program.ingresses.push(door);
                 }
                 "route" => {
                     let route = route(&mut line, &program)?;
                     program.routes.push(route);
                 }
-                "set" => set(&mut line, &mut program.points)?,
+                "set" => set(&mut line, &mut program.set_points)?,
                 _ => return line.about("a statement begins with door, route or set"),
             }
             match line.next == line.words.len() {
@@ -427,9 +427,9 @@
             complaints.push(complaint);
         }
     }
-    if program.points.fresh_ms > program.points.expire_ms {
+    if program.set_points.fresh_ms > program.set_points.expire_ms {
         let text = "`fresh` is longer than `expire`".into();
-        complaints.push(Complaint {
+        complaints.push(CompileError {
             line: 1,
             column: 1,
             text,
--- a/policy/src/extract.rs
+++ b/policy/src/extract.rs
@@ -1,40 +1,42 @@
 //! Reading a job's tenant key, service and prefix by the compiled rules.
 
-use crate::{find, Find, Program, Source, Target};
+use crate::{find_field, FieldSearch, Program, Source, Target};
 use sha2::{Digest, Sha256};
 
 /// The head of a job, as the door saw it. `header` is handed the lower-case
 /// name.
-pub struct Head<'a> {
+pub struct RequestHead<'a> {
     pub method: &'a str,
     pub path: &'a str,
     pub query: &'a str,
     pub header: &'a dyn Fn(&str) -> Option<String>,
     /// The job's own number: what a split goes by where it has no prefix.
-    pub draw: u64,
+    pub split_seed: u64,
 }
 
-/// One value of the key. Invariant: `Wanted` is only given while the body may
+/// One value of the key. Invariant: `Pending` is only given while the body may
 /// still go on and is below the cap.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Field {
+pub enum KeyField {
     Known(String),
-    Wanted,
+    Pending,
     Missing,
 }
 
 /// What is known of a job's key so far.
 #[derive(Debug, PartialEq)]
-pub struct Extract {
-    pub tenant: Field,
-    pub service: Field,
+pub struct ExtractedKey {
+    pub tenant: KeyField,
+    pub service: KeyField,
     /// The fingerprint of the prompt's prefix, 0 where the route names none.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
 }
 
-impl Extract {
-    pub fn is_settled(&self) -> bool {
-        self.tenant != Field::Wanted && self.service != Field::Wanted && self.prefix.is_some()
+impl ExtractedKey {
+    pub fn is_complete(&self) -> bool {
+        self.tenant != KeyField::Pending
+            && self.service != KeyField::Pending
+            && self.prefix_hash.is_some()
     }
 }
 
@@ -46,7 +48,7 @@
 }
 
 /// The digest under which a tenant key is kept and compared.
-pub fn fingerprint(key: &str) -> String {
+pub fn sha256_hex(key: &str) -> String {
     Sha256::digest(key.as_bytes())
         .iter()
         .map(|byte| format!("{byte:02x}"))
@@ -54,7 +56,7 @@
 }
 
 /// A number for a text, to rank and compare by. All processes draw alike.
-pub fn mark(text: &[u8]) -> u64 {
+pub fn stable_hash(text: &[u8]) -> u64 {
     let digest = Sha256::digest(text);
     u64::from_be_bytes(digest[..8].try_into().expect("eight bytes of a digest"))
 }
@@ -83,7 +85,7 @@
 }
 
 /// A value that stands before the body.
-pub(crate) fn read_cheap(source: &Source, head: &Head) -> Option<String> {
+pub(crate) fn read_cheap(source: &Source, head: &RequestHead) -> Option<String> {
     match source {
         Source::Header(name) => (head.header)(name),
         _ => match read(
@@ -95,13 +97,13 @@
                 may_grow: false,
             },
         ) {
-            Field::Known(text) => Some(text),
+            KeyField::Known(text) => Some(text),
             _ => None,
         },
     }
 }
 
-fn read(source: &Source, head: &Head, body: &Body) -> Field {
+fn read(source: &Source, head: &RequestHead, body: &Body) -> KeyField {
     let value = match source {
         Source::Header(name) => (head.header)(name),
         Source::Bearer => (head.header)("authorization").and_then(|value| {
@@ -120,30 +122,42 @@
             let (left, right) = pair.split_once('=')?;
             (left == name).then(|| unescaped(right))?
         }),
-        Source::Body(path) => match find(body.text, path, body.ended) {
-            Find::Found { raw, whole: true } => decoded(&raw),
-            Find::Found { whole: false, .. } | Find::More if body.may_grow => return Field::Wanted,
+        Source::Body(path) => match find_field(body.text, path, body.ended) {
+            FieldSearch::Found {
+                raw,
+                is_complete: true,
+            } => decoded(&raw),
+            FieldSearch::Found {
+                is_complete: false, ..
+            }
+            | FieldSearch::Incomplete
+                if body.may_grow =>
+            {
+                return KeyField::Pending
+            }
             _ => None,
         },
     };
     match value {
-        Some(text) if !text.is_empty() && text.len() <= 256 => Field::Known(text),
-        _ => Field::Missing,
+        Some(text) if !text.is_empty() && text.len() <= 256 => KeyField::Known(text),
+        _ => KeyField::Missing,
     }
 }
 
-fn prefix(source: &Source, length: usize, head: &Head, body: &Body) -> Option<u64> {
+fn prefix(source: &Source, length: usize, head: &RequestHead, body: &Body) -> Option<u64> {
     let Source::Body(path) = source else {
         return match read(source, head, body) {
-            Field::Known(text) => Some(mark(&text.as_bytes()[..text.len().min(length)])),
+            KeyField::Known(text) => Some(stable_hash(&text.as_bytes()[..text.len().min(length)])),
             _ => Some(0),
         };
     };
-    match find(body.text, path, body.ended) {
-        Find::Found { raw, whole } if whole || raw.len() >= length || !body.may_grow => {
-            Some(mark(&raw[..raw.len().min(length)]))
+    match find_field(body.text, path, body.ended) {
+        FieldSearch::Found { raw, is_complete }
+            if is_complete || raw.len() >= length || !body.may_grow =>
+        {
+            Some(stable_hash(&raw[..raw.len().min(length)]))
         }
-        Find::Found { .. } | Find::More if body.may_grow => None,
+        FieldSearch::Found { .. } | FieldSearch::Incomplete if body.may_grow => None,
         _ => Some(0),
     }
 }
@@ -165,40 +179,40 @@
     /// Reads the key of a job on `route` from its head and as much of its
     /// body as is there. `ended` says that the body is complete; past `cap`
     /// none of it is looked at.
-    pub fn extract(
+    pub fn extract_key(
         &self,
         route: usize,
-        head: &Head,
+        head: &RequestHead,
         body: &[u8],
         ended: bool,
         cap: usize,
-    ) -> Extract {
+    ) -> ExtractedKey {
         let route = &self.routes[route];
-        let door = &self.doors[route.door];
+        let door = &self.ingresses[route.ingress];
         let body = Body {
             text: &body[..body.len().min(cap)],
             ended: ended && body.len() <= cap,
             may_grow: !ended && body.len() < cap,
         };
-        let prefix = match (&route.prefix, &route.parts) {
+        let prefix = match (&route.prompt_prefix, &route.prompt_parts) {
             (Some((source, length)), _) => prefix(source, *length, head, &body),
-            (None, Some(_)) => Some(self.prompt(route, head).prefix()),
+            (None, Some(_)) => Some(self.prompt(route, head).shared_prefix_hash()),
             (None, None) => Some(0),
         };
-        let service = match (&route.target, &door.model) {
-            (Target::Service(name), _) => Field::Known(name.clone()),
+        let service = match (&route.target, &door.model_source) {
+            (Target::Service(name), _) => KeyField::Known(name.clone()),
             (Target::Split(shares), _) => match prefix {
-                Some(0) => Field::Known(drawn(shares, head.draw)),
-                Some(prefix) => Field::Known(drawn(shares, prefix)),
-                None => Field::Wanted,
+                Some(0) => KeyField::Known(drawn(shares, head.split_seed)),
+                Some(prefix) => KeyField::Known(drawn(shares, prefix)),
+                None => KeyField::Pending,
             },
             (Target::Model, Some(source)) => read(source, head, &body),
-            (Target::Model, None) => Field::Missing,
+            (Target::Model, None) => KeyField::Missing,
         };
-        Extract {
-            tenant: read(&door.tenant, head, &body),
+        ExtractedKey {
+            tenant: read(&door.tenant_source, head, &body),
             service,
-            prefix,
+            prefix_hash: prefix,
         }
     }
 }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -11,65 +11,65 @@
 mod extract;
 mod prompt;
 
-pub use body::{find, Find};
-pub use compile::{compile, parse_span, Complaint};
-pub use extract::{fingerprint, mark, Extract, Field, Head};
-pub use prompt::{Part, Prompt};
+pub use body::{find_field, FieldSearch};
+pub use compile::{compile, parse_duration_ms, CompileError};
+pub use extract::{sha256_hex, stable_hash, ExtractedKey, KeyField, RequestHead};
+pub use prompt::{Prompt, PromptPart};
 
 /// The most of a job's body that is held back while its key is looked for.
-pub const BODY_CAP: usize = 64 * 1024;
+pub const BODY_LIMIT_BYTES: usize = 64 * 1024;
 
-/// Compiled rules. Invariants: every `Route::door` is an index into `doors`,
+/// Compiled rules. Invariants: every `Route::ingress` is an index into `ingresses`,
 /// door names and route names are each unique, and `routes` keeps the order
 /// of the text, since among those of no host the first match wins; `hosts`
 /// lists the routes of each host, the longest path first.
 pub struct Program {
-    pub doors: Vec<Door>,
+    pub ingresses: Vec<Ingress>,
     pub routes: Vec<Route>,
-    pub points: SetPoints,
+    pub set_points: SetPoints,
     hosts: HashMap<String, Vec<usize>>,
 }
 
-/// One front door. Invariant: `at` begins and ends with a slash.
-pub struct Door {
+/// One front door. Invariant: `path_prefix` begins and ends with a slash.
+pub struct Ingress {
     pub name: String,
-    pub at: String,
-    pub tenant: Source,
-    pub model: Option<Source>,
+    pub path_prefix: String,
+    pub tenant_source: Source,
+    pub model_source: Option<Source>,
 }
 
 pub struct Route {
     pub name: String,
-    pub door: usize,
+    pub ingress: usize,
     /// `None` stands for any host.
     pub host: Option<String>,
     /// `None` stands for any method.
     pub method: Option<String>,
     pub path: String,
     /// The path ended in `*`: it matches whatever begins with `path`.
-    pub open: bool,
+    pub is_path_prefix: bool,
     pub target: Target,
-    pub repeatable: bool,
+    pub is_idempotent: bool,
     pub deadline_ms: u64,
-    pub prefix: Option<(Source, usize)>,
+    pub prompt_prefix: Option<(Source, usize)>,
     /// Where the parts of the prompt are listed, each with its tokens.
-    pub parts: Option<Source>,
+    pub prompt_parts: Option<Source>,
     /// Where the tokens of the prompt and the most tokens out are told.
-    pub size: Option<Source>,
+    pub prompt_size: Option<Source>,
     /// The regions where it may be served; empty stands for any.
-    pub homes: Vec<String>,
+    pub home_regions: Vec<String>,
     /// Who is let in first when engines are full; 0 goes first.
     pub urgency: Option<u8>,
     /// Engines that one job may be sent to, at the most.
-    pub rounds: Option<u32>,
+    pub max_attempts: Option<u32>,
     /// The time inside which its answer is to begin.
-    pub aim_ms: Option<u64>,
+    pub latency_target_ms: Option<u64>,
     /// It needs no tenant key.
     pub is_public: bool,
     /// A stream of it may be taken up at another engine.
-    pub resumes: bool,
+    pub is_resumable: bool,
     /// Its answers are series of events.
-    pub is_stream: bool,
+    pub is_streaming: bool,
 }
 
 pub enum Target {
@@ -104,8 +104,8 @@
 /// The values that the controllers steer by.
 #[derive(Clone, Copy, PartialEq)]
 pub struct SetPoints {
-    pub fill: f64,
-    pub retries: f64,
+    pub target_utilization: f64,
+    pub retry_ratio: f64,
     pub fresh_ms: u64,
     pub expire_ms: u64,
 }
@@ -113,8 +113,8 @@
 impl Default for SetPoints {
     fn default() -> Self {
         SetPoints {
-            fill: 0.8,
-            retries: 0.2,
+            target_utilization: 0.8,
+            retry_ratio: 0.2,
             fresh_ms: 5 * 60_000,
             expire_ms: 24 * 3_600_000,
         }
@@ -123,7 +123,7 @@
 
 impl Source {
     /// Whether the value is to be had before any byte of the body.
-    pub fn is_cheap(&self) -> bool {
+    pub fn is_in_head(&self) -> bool {
         !matches!(self, Source::Body(_))
     }
 }
@@ -131,10 +131,10 @@
 impl Program {
     /// Elects a route for the head of a job: the longest path among those of its
     /// host, else the first that fits of those of no host.
-    pub fn route(&self, head: &Head) -> Option<usize> {
+    pub fn match_route(&self, head: &RequestHead) -> Option<usize> {
         let fits = |route: &Route| {
             let method = route.method.as_deref().is_none_or(|m| m == head.method);
-            let path = if route.open {
+            let path = if route.is_path_prefix {
                 head.path.starts_with(&route.path)
             } else {
                 head.path == route.path
--- a/policy/src/prompt.rs
+++ b/policy/src/prompt.rs
@@ -1,17 +1,17 @@
 //! What a job says of its prompt: the parts that it is made of, and its size.
 
-use crate::extract::{mark, read_cheap};
-use crate::{Head, Program, Route};
+use crate::extract::{read_cheap, stable_hash};
+use crate::{Program, RequestHead, Route};
 
 /// The most parts that are looked at.
 const MOST: usize = 64;
 
 /// One part of a prompt, which other prompts may share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct PromptPart {
     /// A number for this part and all before it: an engine that keeps this part
     /// keeps those, too.
-    pub chain: u64,
+    pub prefix_hash: u64,
     pub tokens: u32,
 }
 
@@ -19,23 +19,25 @@
 /// or its session alone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prompt {
-    pub parts: Vec<Part>,
-    pub tokens_in: u32,
-    pub tokens_out: u32,
+    pub parts: Vec<PromptPart>,
+    pub input_tokens: u32,
+    pub max_output_tokens: u32,
 }
 
 impl Prompt {
     /// What jobs that share most of their prompt have in common; 0 where
     /// nothing is known.
-    pub fn prefix(&self) -> u64 {
+    pub fn shared_prefix_hash(&self) -> u64 {
         let shared = self.parts.len().saturating_sub(1).max(1);
-        self.parts.get(shared - 1).map_or(0, |part| part.chain)
+        self.parts
+            .get(shared - 1)
+            .map_or(0, |part| part.prefix_hash)
     }
 }
 
 /// Reads `ID:TOKENS,ID:TOKENS`. What can't be read ends the list.
-fn parts(text: &str) -> Vec<Part> {
-    let mut parts: Vec<Part> = Vec::new();
+fn parts(text: &str) -> Vec<PromptPart> {
+    let mut parts: Vec<PromptPart> = Vec::new();
     let mut before = 0;
     for item in text.split(',').take(MOST) {
         let Some((id, tokens)) = item.trim().split_once(':') else {
@@ -44,13 +46,13 @@
         let Ok(tokens) = tokens.trim().parse() else {
             break;
         };
-        let id = u64::from_str_radix(id, 16).unwrap_or_else(|_| mark(id.as_bytes()));
+        let id = u64::from_str_radix(id, 16).unwrap_or_else(|_| stable_hash(id.as_bytes()));
         before = (before ^ id)
             .wrapping_mul(0x9e37_79b9_7f4a_7c15)
             .rotate_left(29)
             | 1;
-        parts.push(Part {
-            chain: before,
+        parts.push(PromptPart {
+            prefix_hash: before,
             tokens,
         });
     }
@@ -59,14 +61,14 @@
 
 impl Program {
     /// What the head of a job on `route` says of its prompt.
-    pub fn prompt(&self, route: &Route, head: &Head) -> Prompt {
+    pub fn prompt(&self, route: &Route, head: &RequestHead) -> Prompt {
         let listed = route
-            .parts
+            .prompt_parts
             .as_ref()
             .and_then(|source| read_cheap(source, head));
         let parts = listed.map_or(Vec::new(), |text| parts(&text));
         let size = route
-            .size
+            .prompt_size
             .as_ref()
             .and_then(|source| read_cheap(source, head));
         let size = size.as_deref().and_then(|text| text.split_once(','));
@@ -74,11 +76,12 @@
         let all: u32 = parts
             .iter()
             .fold(0, |sum, part| sum.saturating_add(part.tokens));
-        let (tokens_in, tokens_out) = size.map_or((all, 0), |(i, o)| (number(i), number(o)));
+        let (input_tokens, max_output_tokens) =
+            size.map_or((all, 0), |(i, o)| (number(i), number(o)));
         Prompt {
             parts,
-            tokens_in,
-            tokens_out,
+            input_tokens,
+            max_output_tokens,
         }
     }
 }
--- a/policy/tests/fixtures.rs
+++ b/policy/tests/fixtures.rs
@@ -1,7 +1,9 @@
 //! The one table of routing keys that router and directory go by, and the
 //! compiler's complaints.
 
-use policy::{compile, parse_span, Extract, Field, Head, Program, BODY_CAP};
+use policy::{
+    compile, parse_duration_ms, ExtractedKey, KeyField, Program, RequestHead, BODY_LIMIT_BYTES,
+};
 
 const RULES: &str = r#"
 # Four doors, each with its own way of carrying key and model.
@@ -30,7 +32,7 @@
     headers: &[(&str, &str)],
     body: &str,
     is_ended: bool,
-) -> Option<(String, Extract)> {
+) -> Option<(String, ExtractedKey)> {
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let header = |name: &str| {
         headers
@@ -38,28 +40,28 @@
             .find(|(known, _)| *known == name)
             .map(|(_, value)| value.to_string())
     };
-    let head = Head {
+    let head = RequestHead {
         method,
         path,
         query,
         header: &header,
-        draw: 1,
+        split_seed: 1,
     };
-    let route = program.route(&head)?;
-    let extract = program.extract(route, &head, body.as_bytes(), is_ended, BODY_CAP);
+    let route = program.match_route(&head)?;
+    let extract = program.extract_key(route, &head, body.as_bytes(), is_ended, BODY_LIMIT_BYTES);
     Some((program.routes[route].name.clone(), extract))
 }
 
 #[test]
 fn keys_are_read_from_every_door() {
-    let known = |text: &str| Field::Known(text.into());
+    let known = |text: &str| KeyField::Known(text.into());
     type Case<'a> = (
         &'a str,
         &'a str,
         &'a [(&'a str, &'a str)],
         &'a str,
         bool,
-        Option<(&'a str, Field, Field)>,
+        Option<(&'a str, KeyField, KeyField)>,
     );
     let cases: Vec<Case> = vec![
         (
@@ -76,7 +78,7 @@
             &[("x-model", "m")],
             "",
             true,
-            Some(("rewrite", Field::Missing, known("m"))),
+            Some(("rewrite", KeyField::Missing, known("m"))),
         ),
         ("GET", "/app/rewrite", &[], "", true, None),
         ("POST", "/app/rewrite/more", &[], "", true, None),
@@ -94,7 +96,7 @@
             &[("authorization", "Basic k2")],
             r#"{"options":{"#,
             false,
-            Some(("ask", Field::Missing, Field::Wanted)),
+            Some(("ask", KeyField::Missing, KeyField::Pending)),
         ),
         (
             "POST",
@@ -102,7 +104,7 @@
             &[],
             r#"{"options":{}}"#,
             true,
-            Some(("ask", Field::Missing, Field::Missing)),
+            Some(("ask", KeyField::Missing, KeyField::Missing)),
         ),
         (
             "POST",
@@ -110,7 +112,7 @@
             &[],
             "not json",
             true,
-            Some(("ask", Field::Missing, Field::Missing)),
+            Some(("ask", KeyField::Missing, KeyField::Missing)),
         ),
         (
             "GET",
@@ -126,7 +128,7 @@
             &[],
             "",
             true,
-            Some(("thumb", Field::Missing, known("thumbs"))),
+            Some(("thumb", KeyField::Missing, known("thumbs"))),
         ),
         (
             "PUT",
@@ -142,7 +144,7 @@
             &[],
             r#"{"key":"#,
             false,
-            Some(("form", Field::Wanted, Field::Missing)),
+            Some(("form", KeyField::Pending, KeyField::Missing)),
         ),
         (
             "PUT",
@@ -150,7 +152,7 @@
             &[],
             r#"{"key":{"a":1}}"#,
             true,
-            Some(("form", Field::Missing, Field::Missing)),
+            Some(("form", KeyField::Missing, KeyField::Missing)),
         ),
     ];
     let program = program();
@@ -165,24 +167,27 @@
 #[test]
 fn a_key_past_the_cap_is_missing_and_never_wanted() {
     let program = program();
-    let body = format!(r#"{{"prompt":"{}","key":"k"}}"#, "x".repeat(BODY_CAP));
-    let short = &body[..BODY_CAP - 1];
+    let body = format!(
+        r#"{{"prompt":"{}","key":"k"}}"#,
+        "x".repeat(BODY_LIMIT_BYTES)
+    );
+    let short = &body[..BODY_LIMIT_BYTES - 1];
     let field = |body: &str, is_ended| {
         let found = ask(&program, "PUT", "/forms/send", &[], body, is_ended);
         found.expect("the route fits").1.tenant
     };
-    assert_eq!(field(short, false), Field::Wanted);
-    assert_eq!(field(&body[..BODY_CAP], false), Field::Missing);
-    assert_eq!(field(&body, true), Field::Missing);
+    assert_eq!(field(short, false), KeyField::Pending);
+    assert_eq!(field(&body[..BODY_LIMIT_BYTES], false), KeyField::Missing);
+    assert_eq!(field(&body, true), KeyField::Missing);
 }
 
 #[test]
-fn a_prefix_is_settled_early_and_is_the_same_however_the_body_is_cut() {
+fn a_prefix_is_complete_early_and_is_the_same_however_the_body_is_cut() {
     let program = program();
     let body = r#"{"prompt":"once upon a time","x":1}"#;
     let prefix = |text: &str, is_ended| {
         let found = ask(&program, "POST", "/app/rewrite", &[], text, is_ended);
-        found.expect("the route fits").1.prefix
+        found.expect("the route fits").1.prefix_hash
     };
     let whole = prefix(body, true);
     assert!(whole.is_some_and(|mark| mark != 0));
@@ -278,12 +283,12 @@
 
 #[test]
 fn set_points_and_spans() {
-    let points = program().points;
+    let points = program().set_points;
     assert_eq!(
-        (points.fill, points.fresh_ms, points.expire_ms),
+        (points.target_utilization, points.fresh_ms, points.expire_ms),
         (0.75, 30_000, 120_000)
     );
-    let retries = |text: &str| compile(text).expect("it compiles").points.retries;
+    let retries = |text: &str| compile(text).expect("it compiles").set_points.retry_ratio;
     assert_eq!(retries("set retries 90%"), 0.2, "a fifth is the most");
     let cases = [
         ("250ms", Some(250)),
@@ -294,7 +299,7 @@
         ("99999999999999999999h", None),
     ];
     for (text, wanted) in cases {
-        assert_eq!(parse_span(text), wanted, "{text}");
+        assert_eq!(parse_duration_ms(text), wanted, "{text}");
     }
 }
 
--- a/residency/src/topology.rs
+++ b/residency/src/topology.rs
@@ -195,7 +195,7 @@
 
     fn span(&mut self, place: &str, value: &OwnedValue, name: &str) -> Option<u64> {
         let found = value.get(name)?;
-        let span = found.as_str().and_then(policy::parse_span);
+        let span = found.as_str().and_then(policy::parse_duration_ms);
         if span.is_none() {
             self.complain(
                 &join(place, name),
@@ -386,14 +386,18 @@
         }
         match policy::compile(&topology.rules) {
             Ok(program) => {
-                topology.set_points = program.points;
+                topology.set_points = program.set_points;
                 for route in &program.routes {
                     let mut services = route.target.services().into_iter();
                     if services.any(|name| !topology.services.contains_key(name)) {
                         let text = format!("route {} names no known service", route.name);
                         reader.complain("rules", text);
                     }
-                    if let Some(home) = route.homes.iter().find(|home| !regions.contains(home)) {
+                    if let Some(home) = route
+                        .home_regions
+                        .iter()
+                        .find(|home| !regions.contains(home))
+                    {
                         let text = format!("route {}: no zone lies in a region {home}", route.name);
                         reader.complain("rules", text);
                     }
--- a/residency/tests/state.rs
+++ b/residency/tests/state.rs
@@ -366,7 +366,7 @@
 #[test]
 fn a_tenant_that_goes_takes_its_keys_along() {
     let mut bench = Bench::new();
-    let digest = policy::fingerprint("a key of ben's");
+    let digest = policy::sha256_hex("a key of ben's");
     bench.must(Command::AddKey(TenantKey {
         digest: digest.clone(),
         tenant: "ben".into(),
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -10,7 +10,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
 use placement::{CacheLookup, ExecutionOutcome, RequestEvent, RequestState, RequestStateMachine};
-use policy::{Extract, Field, Head, Source, Target, BODY_CAP};
+use policy::{ExtractedKey, KeyField, RequestHead, Source, Target, BODY_LIMIT_BYTES};
 use protocol::Answer;
 use residency::{Mapping, View};
 use std::sync::atomic::Ordering;
@@ -139,7 +139,7 @@
 }
 
 impl Reader<'_> {
-    fn with<T>(&self, ask: impl FnOnce(&Head) -> T) -> T {
+    fn with<T>(&self, ask: impl FnOnce(&RequestHead) -> T) -> T {
         let header = |name: &str| {
             self.parts
                 .headers
@@ -148,29 +148,29 @@
                 .ok()
                 .map(String::from)
         };
-        ask(&Head {
+        ask(&RequestHead {
             method: self.parts.method.as_str(),
             path: self.parts.uri.path(),
             query: self.parts.uri.query().unwrap_or(""),
             header: &header,
-            draw: self.draw,
+            split_seed: self.draw,
         })
     }
 
-    fn extract(&self, route: usize, body: &[u8], is_ended: bool) -> Extract {
+    fn extract(&self, route: usize, body: &[u8], is_ended: bool) -> ExtractedKey {
         self.with(|head| {
             self.view
                 .program
-                .extract(route, head, body, is_ended, BODY_CAP)
+                .extract_key(route, head, body, is_ended, BODY_LIMIT_BYTES)
         })
     }
 
     /// The tenant of a key that was read; an unknown key goes no further.
-    fn tenant(&self, extract: &Extract) -> Result<Option<Client>, Refusal> {
-        let Field::Known(key) = &extract.tenant else {
+    fn tenant(&self, extract: &ExtractedKey) -> Result<Option<Client>, Refusal> {
+        let KeyField::Known(key) = &extract.tenant else {
             return Ok(None);
         };
-        let key = policy::fingerprint(key);
+        let key = policy::sha256_hex(key);
         match self.view.keys.get(&key) {
             Some(tenant) => Ok(Some(Client {
                 tenant: tenant.clone(),
@@ -234,9 +234,9 @@
     let reader = Reader {
         view: &view,
         parts: &head,
-        draw: policy::mark(id.as_bytes()),
+        draw: policy::stable_hash(id.as_bytes()),
     };
-    let Some(route) = reader.with(|head| view.program.route(head)) else {
+    let Some(route) = reader.with(|head| view.program.match_route(head)) else {
         return Err(Refusal::not_run(
             404,
             "no-route",
@@ -250,8 +250,8 @@
     }
     let rule = &view.program.routes[route];
     log::info!(job = id; "its body is here");
-    let mut job = RequestStateMachine::new(rule.repeatable);
-    if let Some(most) = rule.rounds {
+    let mut job = RequestStateMachine::new(rule.is_idempotent);
+    if let Some(most) = rule.max_attempts {
         job = job.with_max_attempts(most);
     }
     let asked = (router.extensions.clients.remaining_ms)(&head.headers);
@@ -260,10 +260,10 @@
     // The head alone may settle who calls, before a byte of body is read.
     let mut extract = reader.extract(route, &held, is_ended);
     let service = match &extract.service {
-        Field::Known(service) => service,
+        KeyField::Known(service) => service,
         _ => "",
     };
-    (router.extensions.retries.deposit)(arrived, service, view.program.points.retries);
+    (router.extensions.retries.deposit)(arrived, service, view.program.set_points.retry_ratio);
     let mut client = match rule.is_public {
         true => Some(Client {
             tenant: String::new(),
@@ -271,8 +271,8 @@
         }),
         false => reader.tenant(&extract)?,
     };
-    let door = &view.program.doors[rule.door];
-    if client.is_none() && extract.tenant == Field::Missing && door.tenant.is_cheap() {
+    let door = &view.program.ingresses[rule.ingress];
+    if client.is_none() && extract.tenant == KeyField::Missing && door.tenant_source.is_in_head() {
         let text = format!(
             "door {} finds no tenant key where it should stand",
             door.name
@@ -280,7 +280,7 @@
         return Err(Refusal::not_run(401, "no-key", text));
     }
     let until = tokio::time::Instant::now() + router.settings.body_head_timeout;
-    while !extract.is_settled() && !is_ended && held.len() < BODY_CAP {
+    while !extract.is_complete() && !is_ended && held.len() < BODY_LIMIT_BYTES {
         match tokio::time::timeout_at(until, body.frame()).await {
             Err(_) => {
                 let text = "the part of the body that holds the key came too slowly";
@@ -308,7 +308,7 @@
         *claim = Some(Claim::new(router, &client.key, id)?);
     }
     // Also where the piece that went past the cap was the last one.
-    let is_past_cap = held.len() >= BODY_CAP;
+    let is_past_cap = held.len() >= BODY_LIMIT_BYTES;
     let rest = (!is_ended).then(|| rest_of(body, longest.saturating_sub(held.len())));
     let mut carried = Carried::new(held.freeze(), rest);
     let target = head
@@ -332,18 +332,18 @@
             .map(|terms| terms.urgency)
             .filter(|urgency| *urgency != u8::MAX)
             .or(rule.urgency),
-        aim_ms: rule.aim_ms.unwrap_or(0),
+        aim_ms: rule.latency_target_ms.unwrap_or(0),
     };
     let tenant = client.map(|client| client.tenant);
     let (tenant, service) = match (&tenant, &extract.service) {
-        (Some(tenant), Field::Known(service)) => (tenant.clone(), service.clone()),
+        (Some(tenant), KeyField::Known(service)) => (tenant.clone(), service.clone()),
         _ if is_past_cap => return unkeyed(router, job, &parts, &mut carried, tenant).await,
         (None, _) => {
             let text = format!("door {} finds no tenant key in this body", door.name);
             return Err(Refusal::not_run(401, "no-key", text));
         }
         _ => {
-            let place = match (&rule.target, &door.model) {
+            let place = match (&rule.target, &door.model_source) {
                 (Target::Model, Some(Source::Body(path))) => {
                     format!("body field {}", path.join("."))
                 }
@@ -370,11 +370,11 @@
         return Err(refusal);
     }
     log::info!(job = id; "admitted");
-    let homes = rule.homes.clone();
+    let homes = rule.home_regions.clone();
     let keyed = Keyed {
         tenant,
         service,
-        prefix: extract.prefix.unwrap_or(0),
+        prefix: extract.prefix_hash.unwrap_or(0),
         homes,
     };
     route_keyed(router, job, &parts, carried, &keyed).await
@@ -702,7 +702,7 @@
         let text = "the tenant key stands in x-tenant-key or as a bearer token";
         return Err(Refusal::not_run(401, "no-key", text));
     };
-    let Some(tenant) = view.keys.get(&policy::fingerprint(key)) else {
+    let Some(tenant) = view.keys.get(&policy::sha256_hex(key)) else {
         return Err(Refusal::not_run(
             401,
             "unknown-key",
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -268,7 +268,7 @@
                 "neighbours": membership::neighbours(router),
                 "cached": router.cache_tiers.sizes().0,
                 "cached_share": router.cache_tiers.sizes().1,
-                "engines": router.dispatcher.roster.value(view.program.points.fill),
+                "engines": router.dispatcher.roster.value(view.program.set_points.target_utilization),
             });
             web::json(if is_well { 200 } else { 503 }, &value)
         }
--- a/router/src/load_gossip.rs
+++ b/router/src/load_gossip.rs
@@ -53,14 +53,14 @@
 
 /// One router of each other region, by rank for this one.
 fn far(router: &Router) -> Vec<SocketAddr> {
-    let own = policy::mark(router.settings.name.as_bytes());
+    let own = policy::stable_hash(router.settings.name.as_bytes());
     let membership = router.membership.read();
     let mut regions: HashMap<&str, (u64, &Front)> = HashMap::new();
     for front in membership
         .fronts()
         .filter(|f| f.region != router.settings.region)
     {
-        let rank = placement::rank(own, policy::mark(front.name.as_bytes()));
+        let rank = placement::rank(own, policy::stable_hash(front.name.as_bytes()));
         let best = regions.entry(&front.region).or_insert((rank, front));
         if rank > best.0 {
             *best = (rank, front);
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -49,11 +49,11 @@
             .filter(|_| is_listed);
         self.told = at;
         if news.is_first != 0 || !news.fronts.is_empty() || !news.gone.is_empty() {
-            let own = policy::mark(name.as_bytes());
+            let own = policy::stable_hash(name.as_bytes());
             let marks = self
                 .known
                 .routers()
-                .map(|front| policy::mark(front.name.as_bytes()));
+                .map(|front| policy::stable_hash(front.name.as_bytes()));
             self.marks = std::iter::once(own)
                 .chain(marks.filter(|mark| *mark != own))
                 .collect();
@@ -112,7 +112,7 @@
         .filter(|front| front.region == router.settings.region && front.is_leaving == 0)
         .filter(|front| front.name != router.settings.name)
         .filter_map(|front| Some((front.name.as_str(), Some(front.address.parse().ok()?))));
-    let number = |text: &str| policy::mark(text.as_bytes());
+    let number = |text: &str| policy::stable_hash(text.as_bytes());
     let key = number(key);
     std::iter::once(own)
         .chain(others)
--- a/simulator/src/machine.rs
+++ b/simulator/src/machine.rs
@@ -213,7 +213,7 @@
         entry: &Entry,
         token: Option<u64>,
     ) -> Result<(), String> {
-        let sum = policy::mark(&to_bytes(entry));
+        let sum = policy::stable_hash(&to_bytes(entry));
         match self.applied.get(&entry.index) {
             Some(known) if *known != sum => {
                 return self.fail(format!("node-{at} applied another entry {}", entry.index))
--- a/testbed/src/caller.rs
+++ b/testbed/src/caller.rs
@@ -118,7 +118,7 @@
 
 /// Whether an answer that ended well is whole and this job's own.
 pub fn judge(call: &Call, text: &[u8], is_warm: bool) -> Seen {
-    let sum = policy::fingerprint(&String::from_utf8_lossy(&call.body));
+    let sum = policy::sha256_hex(&String::from_utf8_lossy(&call.body));
     let mut first: Option<(String, u64, u64)> = None;
     let mut count = 0;
     for line in text
--- a/testbed/src/engine.rs
+++ b/testbed/src/engine.rs
@@ -159,7 +159,7 @@
     let run = engine.runs.fetch_add(1, Ordering::Relaxed) + 1;
     let is_warm = warm_up(engine, &body);
     note(if is_warm { "begun-warm" } else { "begun-cold" }, run);
-    let sum = policy::fingerprint(&String::from_utf8_lossy(&body));
+    let sum = policy::sha256_hex(&String::from_utf8_lossy(&body));
     let (sender, receiver) = mpsc::channel(4);
     let (engine, job) = (Arc::clone(engine), id.clone());
     let settings_name = engine.settings.name.clone();
@@ -194,8 +194,8 @@
 
 /// Whether the prompt's beginning was seen lately; from now on it was.
 fn warm_up(engine: &Engine, body: &[u8]) -> bool {
-    let prefix = match policy::find(body, &["prompt".into()], true) {
-        policy::Find::Found { raw, .. } => {
+    let prefix = match policy::find_field(body, &["prompt".into()], true) {
+        policy::FieldSearch::Found { raw, .. } => {
             String::from_utf8_lossy(&raw[..raw.len().min(256)]).into_owned()
         }
         _ => return true,
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -267,7 +267,7 @@
 fn state() -> State {
     let mut state = State::default();
     let key = TenantKey {
-        digest: policy::fingerprint(KEY),
+        digest: policy::sha256_hex(KEY),
         tenant: "ana".into(),
     };
     let commands = [
