--- a/directory/src/forwarded_requests.rs
+++ b/directory/src/forwarded_requests.rs
@@ -5,7 +5,9 @@
 use crate::ControlPlane;
 use anyhow::{anyhow, bail};
 use bytes::Bytes;
-use dispatch::{headers_of, headers_to, step, Carried, Parts, Piped};
+use dispatch::{
+    apply_event, headers_from_frame, headers_to_frame, ChannelBody, RequestBody, RequestParts,
+};
 use http_body_util::BodyExt;
 use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
 use policy::{ExtractedKey, KeyField, Prompt, RequestHead};
@@ -106,18 +108,18 @@
         .get(route)
         .is_some_and(|route| route.is_idempotent);
     let mut job = RequestStateMachine::new(is_repeatable);
-    step(&mut job, RequestEvent::RoutingKeyExtracted);
-    step(&mut job, RequestEvent::MappingResolved);
+    apply_event(&mut job, RequestEvent::RoutingKeyExtracted);
+    apply_event(&mut job, RequestEvent::MappingResolved);
     let (pieces, rest) = mpsc::channel::<anyhow::Result<Bytes>>(8);
-    let mut carried = Carried::new(held, (!is_ended).then(|| Piped(rest).boxed_unsync()));
+    let mut carried = RequestBody::new(held, (!is_ended).then(|| ChannelBody(rest).boxed_unsync()));
     if !is_ended {
         link::send(&mut writer, &Frame::Go).await?;
     }
-    let parts = Parts {
+    let parts = RequestParts {
         id: head.id.clone(),
         method: head.method.parse()?,
         target: head.target.clone(),
-        headers: headers_of(&head.headers)?,
+        headers: headers_from_frame(&head.headers)?,
         key,
         deadline: now().saturating_add(head.left_ms),
         prompt: Prompt::default(),
@@ -145,7 +147,7 @@
     };
     let head = Frame::AnswerHead {
         status: answer.status.as_u16(),
-        headers: headers_to(&answer.headers),
+        headers: headers_to_frame(&answer.headers),
     };
     link::send(&mut writer, &head).await?;
     let mut body = answer.body;
@@ -230,7 +232,7 @@
         let text = "this directory node is behind the router";
         return Ok(Err(Refusal::not_run(503, "behind", text)));
     };
-    let headers = headers_of(&head.headers)?;
+    let headers = headers_from_frame(&head.headers)?;
     // The door's own view of the job, as the rules read it.
     let with_head = |ask: &mut dyn FnMut(&RequestHead)| {
         let (path, query) = head.target.split_once('?').unwrap_or((&head.target, ""));
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -21,8 +21,8 @@
 use consensus::node::Timing;
 use consensus::wal::{DiskStorage, WriteAheadLog};
 use consensus::Member;
-use dispatch::quota::Quota;
-use dispatch::roster::Roster;
+use dispatch::engine_tracker::EngineTracker;
+use dispatch::quota::QuotaLimiter;
 use dispatch::Dispatcher;
 use parking_lot::{Mutex, RwLock};
 use protocol::{Frame, Front, PeerRequest, PeerResponse};
@@ -111,7 +111,7 @@
     /// Told when a beat waits to be confirmed.
     heartbeat_arrived: tokio::sync::Notify,
     /// For jobs whose key no router could read.
-    quota: Quota,
+    quota: QuotaLimiter,
     /// Quotas go by pools.
     has_quota_margin: bool,
     forwarding_slots: Arc<tokio::sync::Semaphore>,
@@ -279,23 +279,23 @@
         Arc::clone(&metrics),
     )?;
     // Work at cold engines is begun by routers alone.
-    let roster = Roster::new(listen, Box::new(Vec::new));
+    let engine_tracker = EngineTracker::by_health(listen, Box::new(Vec::new));
     if max_forwarded_requests > 0 {
-        tokio::spawn(Arc::clone(&roster).run(driver.view.clone()));
+        tokio::spawn(Arc::clone(&engine_tracker).run(driver.view.clone()));
     }
     let gate = Arc::clone(&driver);
     let dispatcher = Dispatcher {
         source: listen,
         // Routers wait; a core machine is small.
-        room_wait: 0,
-        roster,
+        slot_wait_ms: 0,
+        engine_tracker,
         view: driver.view.clone(),
         metrics: Arc::clone(&metrics),
         // Whether a job goes on is decided by the router that has it.
-        budget: Box::new(|_| false),
-        leave: Arc::new(move |mapping| gate.check_dispatch(mapping)),
-        carriage: Default::default(),
-        lanes: Default::default(),
+        retry_budget: Box::new(|_| false),
+        permit: Arc::new(move |mapping| gate.check_dispatch(mapping)),
+        options: Default::default(),
+        connections: Default::default(),
     };
     let control = Arc::new(ControlPlane {
         member,
@@ -308,7 +308,7 @@
         routers: Default::default(),
         router_list_version: tokio::sync::watch::Sender::new(0),
         heartbeat_arrived: tokio::sync::Notify::new(),
-        quota: Quota::default(),
+        quota: QuotaLimiter::default(),
         has_quota_margin: settings.quota_margin.is_some(),
         forwarding_slots: Arc::new(tokio::sync::Semaphore::new(max_forwarded_requests)),
         forwarding_bytes: Arc::new(tokio::sync::Semaphore::new(settings.max_forwarded_bytes)),
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -224,13 +224,21 @@
         prefix,
         avoid: &[],
     };
-    let (engine, why) = match control.dispatcher.roster.elect(&view, &mapping, &wanted) {
-        dispatch::roster::Elected::Engine(seat) => (
+    let (engine, why) = match control
+        .dispatcher
+        .engine_tracker
+        .select_engine(&view, &mapping, &wanted)
+    {
+        dispatch::engine_tracker::Selection::Engine(seat) => (
             Some(seat.name.clone()),
             "ranks first for this prefix among those with room",
         ),
-        dispatch::roster::Elected::Full => (None, "all that are allowed are at their limit"),
-        dispatch::roster::Elected::Nobody => (None, "none that is allowed is in sight"),
+        dispatch::engine_tracker::Selection::AtCapacity => {
+            (None, "all that are allowed are at their limit")
+        }
+        dispatch::engine_tracker::Selection::NoneAvailable => {
+            (None, "none that is allowed is in sight")
+        }
     };
     let list = |names: &[Name]| {
         names
@@ -250,7 +258,7 @@
         "recent": control.driver.lease_valid(),
         "engine": engine,
         "why": why,
-        "engines": control.dispatcher.roster.value(view.program.set_points.target_utilization),
+        "engines": control.dispatcher.engine_tracker.to_json(view.program.set_points.target_utilization),
     });
     web::json(200, &value)
 }
--- a/directory/src/subscriptions.rs
+++ b/directory/src/subscriptions.rs
@@ -149,7 +149,7 @@
             );
         }
     });
-    let _told = dispatch::roster::Aborting(told.abort_handle());
+    let _told = transport::AbortOnDrop(told.abort_handle());
     let writing = async {
         while let Some(frame) = queue.recv().await {
             tokio::time::timeout(link::PATIENCE * 2, link::send(&mut writer, &frame)).await??;
@@ -235,14 +235,14 @@
             std::mem::take(&mut control.routers.lock().heartbeats),
             now(),
         );
-        if heartbeats.is_empty() && !control.quota.is_waited_for() && at < last + LEASE_RENEWAL_MS {
+        if heartbeats.is_empty() && !control.quota.has_waiters() && at < last + LEASE_RENEWAL_MS {
             continue;
         }
         last = at;
         number += 1;
         let own = control
             .quota
-            .demands(&format!("{:016x}", control.member.identity), number);
+            .lease_demands(&format!("{:016x}", control.member.identity), number);
         let said = heartbeats.iter().map(|beat| &beat.demand).chain([&own]);
         // Where quotas go by pools a router counts as heard also without a demand.
         let is_told =
@@ -259,7 +259,9 @@
                         .find(is_its)
                         .map_or(Vec::new(), |share| share.shares.clone())
                 };
-                control.quota.take(number, at + LEASE_MS, &share(&own));
+                control
+                    .quota
+                    .apply_shares(number, at + LEASE_MS, &share(&own));
                 for beat in heartbeats {
                     let (number, shares) = (beat.demand.number, share(&beat.demand));
                     let lease = Frame::Lease {
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -1,8 +1,8 @@
 //! Carrying a job to an engine and its answer back.
 
-use crate::gate::{Against, Armed, Gate, LastLook, Slot};
-use crate::lanes::{Lane, Lanes};
-use crate::roster::{Aborting, Elected, Roster, Seat};
+use crate::connection_pool::{ConnectionPool, PooledConnection};
+use crate::engine_tracker::{EngineSlot, EngineTracker, Selection};
+use crate::guard::{ArmedGuard, DispatchGuard, GuardError, GuardSlot, GuardedStream};
 use bytes::Bytes;
 use http::HeaderMap;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -21,28 +21,28 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use transport::web::{Refusal, JOB};
-use transport::{link, now};
+use transport::{link, now, AbortOnDrop};
 
 /// A stream that gives nothing for this long is broken.
-pub const IDLE: Duration = Duration::from_secs(20);
+pub const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long it may wait for any engine to be in sight.
-const SIGHT_WAIT_MS: u64 = 500;
+const DISCOVERY_WAIT_MS: u64 = 500;
 /// What an engine says with a 503 where it did not run the job.
-pub const ENGINE_OUTCOME: &str = "x-engine-outcome";
+pub const ENGINE_OUTCOME_HEADER: &str = "x-engine-outcome";
 
-pub type Rest = UnsyncBoxBody<Bytes, anyhow::Error>;
+pub type BodyStream = UnsyncBoxBody<Bytes, anyhow::Error>;
 
 /// A job's body: what was held back while its key was read, then the rest.
 /// Invariant: it can be sent again exactly while `rest` was never there.
-pub struct Carried {
+pub struct RequestBody {
     pub held: Bytes,
-    rest: Option<Rest>,
+    rest: Option<BodyStream>,
     is_spent: bool,
 }
 
-impl Carried {
-    pub fn new(held: Bytes, rest: Option<Rest>) -> Carried {
-        Carried {
+impl RequestBody {
+    pub fn new(held: Bytes, rest: Option<BodyStream>) -> RequestBody {
+        RequestBody {
             held,
             rest,
             is_spent: false,
@@ -59,26 +59,26 @@
     }
 
     /// Takes the rest out to be sent; the body is then spent.
-    pub fn take_rest(&mut self) -> Option<Rest> {
+    pub fn take_rest(&mut self) -> Option<BodyStream> {
         self.is_spent |= self.rest.is_some();
         self.rest.take()
     }
 
-    fn take(&mut self) -> Flow {
+    fn take(&mut self) -> OutgoingBody {
         let held = Some(self.held.clone()).filter(|held| !held.is_empty());
-        Flow {
+        OutgoingBody {
             held,
             rest: self.take_rest(),
         }
     }
 }
 
-pub struct Flow {
+pub struct OutgoingBody {
     held: Option<Bytes>,
-    rest: Option<Rest>,
+    rest: Option<BodyStream>,
 }
 
-impl Body for Flow {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = anyhow::Error;
 
@@ -109,9 +109,9 @@
 
 /// A body whose pieces another task hands over. Where that task hands over an
 /// error, the body breaks.
-pub struct Piped(pub tokio::sync::mpsc::Receiver<anyhow::Result<Bytes>>);
+pub struct ChannelBody(pub tokio::sync::mpsc::Receiver<anyhow::Result<Bytes>>);
 
-impl Body for Piped {
+impl Body for ChannelBody {
     type Data = Bytes;
     type Error = anyhow::Error;
 
@@ -126,7 +126,7 @@
 }
 
 /// Headers as they came over a link.
-pub fn headers_of(list: &[protocol::Header]) -> anyhow::Result<HeaderMap> {
+pub fn headers_from_frame(list: &[protocol::Header]) -> anyhow::Result<HeaderMap> {
     let mut headers = HeaderMap::new();
     for header in list {
         headers.append(
@@ -138,7 +138,7 @@
 }
 
 /// The same, the other way.
-pub fn headers_to(headers: &HeaderMap) -> Vec<protocol::Header> {
+pub fn headers_to_frame(headers: &HeaderMap) -> Vec<protocol::Header> {
     let header = |(name, value): (&http::HeaderName, &http::HeaderValue)| protocol::Header {
         name: name.as_str().into(),
         value: value.as_bytes().to_vec(),
@@ -147,7 +147,7 @@
 }
 
 /// What is sent on of a job, and what the logs say of it.
-pub struct Parts {
+pub struct RequestParts {
     pub id: String,
     pub method: http::Method,
     pub target: String,
@@ -164,68 +164,69 @@
 }
 
 /// An engine's answer, being relayed.
-pub struct Answer {
+pub struct EngineResponse {
     pub status: http::StatusCode,
     pub headers: HeaderMap,
-    pub body: Relay,
+    pub body: RelayedBody,
 }
 
-/// Leave to go on with one more round for a service, where that would be a repeat
+/// PermitDispatch to go on with one more round for a service, where that would be a repeat
 /// of work.
-pub type Budget = Box<dyn Fn(&str) -> bool + Send + Sync>;
+pub type RetryBudgetFn = Box<dyn Fn(&str) -> bool + Send + Sync>;
 
 /// What an engine is told of a job beside what its caller sent.
-pub struct Dress<'a> {
+pub struct HeaderContext<'a> {
     pub id: &'a str,
     pub engine: &'a str,
     pub address: SocketAddr,
     pub tenant: &'a str,
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     pub urgency: Option<u8>,
 }
 
 /// What the head of an engine's answer says.
 #[derive(Debug, PartialEq)]
-pub enum Verdict {
-    Answer,
+pub enum ResponseClass {
+    Response,
     /// The engine says that it did not run the job.
-    Declined,
+    NotRun,
     /// It is another engine than the one that was meant, and did not run it.
-    Misplaced,
+    WrongEngine,
     /// It is no answer to this job.
-    Foreign(&'static str),
+    Unrelated(&'static str),
 }
 
-type Dressing = Box<dyn Fn(&mut HeaderMap, &Dress) + Send + Sync>;
-type Judging = Box<dyn Fn(&Parts, http::StatusCode, &HeaderMap) -> Verdict + Send + Sync>;
+type RewriteHeaders = Box<dyn Fn(&mut HeaderMap, &HeaderContext) + Send + Sync>;
+type ClassifyResponse =
+    Box<dyn Fn(&RequestParts, http::StatusCode, &HeaderMap) -> ResponseClass + Send + Sync>;
 
 /// How engines are spoken to. Own engines know a job by its id and say by one
 /// header that they did not run it.
-pub struct Speech {
-    pub dress: Dressing,
-    pub judge: Judging,
+pub struct EngineProtocol {
+    pub rewrite_headers: RewriteHeaders,
+    pub classify_response: ClassifyResponse,
 }
 
-impl Default for Speech {
-    fn default() -> Speech {
+impl Default for EngineProtocol {
+    fn default() -> EngineProtocol {
         let value = |text: &str| {
             text.parse()
                 .expect("an address or an id is a header's value")
         };
-        Speech {
-            dress: Box::new(move |headers, dress| {
+        EngineProtocol {
+            rewrite_headers: Box::new(move |headers, dress| {
                 headers.insert("host", value(&dress.address.to_string()));
                 headers.insert(JOB, value(dress.id));
             }),
-            judge: Box::new(|_, status, headers| {
+            classify_response: Box::new(|_, status, headers| {
                 let is_declined = status == 503
                     && headers
-                        .get(ENGINE_OUTCOME)
+                        .get(ENGINE_OUTCOME_HEADER)
                         .is_some_and(|value| value == "not-run");
                 if is_declined {
-                    Verdict::Declined
+                    ResponseClass::NotRun
                 } else {
-                    Verdict::Answer
+                    ResponseClass::Response
                 }
             }),
         }
@@ -233,45 +234,45 @@
 }
 
 /// How jobs get to engines.
-pub struct Carriage {
-    pub speech: Speech,
+pub struct DispatchOptions {
+    pub engine_protocol: EngineProtocol,
     /// How long an idle connection is kept where the engine says nothing of it, in
     /// milliseconds; 0 keeps none. Only repeatable jobs ride one that was used.
-    pub kept_ms: u64,
-    pub connect: Duration,
+    pub idle_timeout_ms: u64,
+    pub connect_timeout: Duration,
     /// How long a job may wait for any engine to be in sight.
-    pub sight_wait: u64,
+    pub discovery_wait_ms: u64,
     /// A repeatable job leaves an engine that has not begun to answer when this
     /// share of its aim has passed; 0 stands for never.
-    pub patience: f64,
+    pub abandon_after_fraction: f64,
 }
 
-impl Default for Carriage {
-    fn default() -> Carriage {
-        Carriage {
-            speech: Speech::default(),
-            kept_ms: 0,
-            connect: link::PATIENCE,
-            sight_wait: SIGHT_WAIT_MS,
-            patience: 0.0,
+impl Default for DispatchOptions {
+    fn default() -> DispatchOptions {
+        DispatchOptions {
+            engine_protocol: EngineProtocol::default(),
+            idle_timeout_ms: 0,
+            connect_timeout: link::PATIENCE,
+            discovery_wait_ms: DISCOVERY_WAIT_MS,
+            abandon_after_fraction: 0.0,
         }
     }
 }
 
-/// Leave to dispatch, asked for in the last moment before the first byte.
-pub type Leave = Arc<dyn Fn(&Mapping) -> Result<(), Refusal> + Send + Sync>;
+/// Permission to dispatch, asked for in the last moment before the first byte.
+pub type PermitDispatch = Arc<dyn Fn(&Mapping) -> Result<(), Refusal> + Send + Sync>;
 
 pub struct Dispatcher {
     pub source: SocketAddr,
     /// How long a job may wait for room at an engine, at the most.
-    pub room_wait: u64,
-    pub roster: Arc<Roster>,
+    pub slot_wait_ms: u64,
+    pub engine_tracker: Arc<EngineTracker>,
     pub view: watch::Receiver<Arc<View>>,
     pub metrics: Arc<Metrics>,
-    pub budget: Budget,
-    pub leave: Leave,
-    pub carriage: Carriage,
-    pub lanes: Arc<Lanes>,
+    pub retry_budget: RetryBudgetFn,
+    pub permit: PermitDispatch,
+    pub options: DispatchOptions,
+    pub connections: Arc<ConnectionPool>,
 }
 
 const HOP: [&str; 9] = [
@@ -287,7 +288,7 @@
 ];
 
 /// Takes away what belongs to one connection, and what only rushport may say.
-pub fn clean(headers: &mut HeaderMap) {
+pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let listed: Vec<String> = headers
         .get_all("connection")
         .iter()
@@ -320,7 +321,7 @@
 
 /// Invariant: the events that a process hands to a job's chart are ones that
 /// the chart allows there.
-pub fn step(job: &mut RequestStateMachine, event: RequestEvent) {
+pub fn apply_event(job: &mut RequestStateMachine, event: RequestEvent) {
     if let Err(misstep) = job.apply(event) {
         panic!("a job left its chart: {misstep}");
     }
@@ -332,11 +333,11 @@
     pub async fn dispatch(
         &self,
         job: &mut RequestStateMachine,
-        parts: &Parts,
-        carried: &mut Carried,
+        parts: &RequestParts,
+        carried: &mut RequestBody,
         mapping: &Mapping,
         prefix: u64,
-    ) -> Result<Answer, Refusal> {
+    ) -> Result<EngineResponse, Refusal> {
         let asked = now();
         let mapping = Arc::new(mapping.clone());
         let mut avoid: Vec<String> = Vec::new();
@@ -346,7 +347,8 @@
                 return Err(self.give_up(job, "its body is spent"));
             }
             let mut has_budget = || {
-                let has_budget = std::mem::take(&mut is_paid) || (self.budget)(&mapping.service);
+                let has_budget =
+                    std::mem::take(&mut is_paid) || (self.retry_budget)(&mapping.service);
                 self.metrics.increment(if has_budget {
                     "retries"
                 } else {
@@ -375,9 +377,9 @@
                     })
                 }
             };
-            step(job, RequestEvent::EngineSelected);
+            apply_event(job, RequestEvent::EngineSelected);
             let kept = match job.is_idempotent() {
-                true => self.lanes.take(&seat.name),
+                true => self.connections.acquire(&seat.name),
                 false => None,
             };
             let stream = match &kept {
@@ -389,16 +391,16 @@
                             "engine can't be reached: {error}");
                         self.metrics.increment("connect-failed");
                         seat.suspect();
-                        self.lanes.forget(&seat.name);
+                        self.connections.discard(&seat.name);
                         avoid.push(seat.name.clone());
-                        step(job, RequestEvent::ConnectFailed);
+                        apply_event(job, RequestEvent::ConnectFailed);
                         continue;
                     }
                 },
             };
-            let look = LastLook {
+            let look = DispatchGuard {
                 view: self.view.clone(),
-                leave: Arc::clone(&self.leave),
+                permit: Arc::clone(&self.permit),
                 mapping: Arc::clone(&mapping),
                 key: parts.key.clone(),
                 deadline: parts.deadline,
@@ -410,12 +412,12 @@
             // is given away.
             let against = look.look();
             if against.is_err() {
-                step(job, RequestEvent::ConnectFailed);
+                apply_event(job, RequestEvent::ConnectFailed);
             }
             match against {
                 Ok(()) => {}
-                Err(Against::Deadline) => return Err(self.late(job)),
-                Err(Against::Key) => {
+                Err(GuardError::Deadline) => return Err(self.late(job)),
+                Err(GuardError::Key) => {
                     let text = "this tenant key was taken away meanwhile";
                     let refusal = Refusal::not_run(401, "unknown-key", text);
                     return Err(Refusal {
@@ -423,54 +425,54 @@
                         ..refusal
                     });
                 }
-                Err(Against::Leave(refusal)) => {
+                Err(GuardError::NotPermitted(refusal)) => {
                     return Err(Refusal {
                         outcome: job.outcome(),
                         ..refusal
                     })
                 }
-                Err(Against::Engine) => continue,
+                Err(GuardError::Engine) => continue,
             }
-            let has_left = Arc::new(AtomicBool::new(false));
-            let armed = Armed {
+            let first_byte_sent = Arc::new(AtomicBool::new(false));
+            let armed = ArmedGuard {
                 look,
-                has_left: Arc::clone(&has_left),
+                first_byte_sent: Arc::clone(&first_byte_sent),
                 note: self.note(job, parts, &seat, &mapping),
             };
             let lane = match (kept, stream) {
                 (Some(lane), _) => lane,
                 (None, Some(stream)) => {
                     self.metrics.increment("connections");
-                    let slot = Arc::new(Slot::default());
-                    let gate = Gate {
+                    let slot = Arc::new(GuardSlot::default());
+                    let gate = GuardedStream {
                         stream: TokioIo::new(stream),
                         slot: Arc::clone(&slot),
                     };
                     match hyper::client::conn::http1::handshake(gate).await {
                         Ok((sender, connection)) => {
-                            let driver = Aborting(tokio::spawn(connection).abort_handle());
-                            Lane {
+                            let driver = AbortOnDrop(tokio::spawn(connection).abort_handle());
+                            PooledConnection {
                                 sender,
                                 slot,
                                 driver,
                             }
                         }
                         Err(_) => {
-                            step(job, RequestEvent::ConnectFailed);
+                            apply_event(job, RequestEvent::ConnectFailed);
                             continue;
                         }
                     }
                 }
                 (None, None) => unreachable!("a connection was kept or made"),
             };
-            let Lane {
+            let PooledConnection {
                 mut sender,
                 slot,
                 driver,
             } = lane;
             slot.arm(armed);
             let request = self.request(parts, &seat, &mapping, carried);
-            step(job, RequestEvent::SendStarted);
+            apply_event(job, RequestEvent::SendStarted);
             seat.sent(&parts.prompt);
             let left = Duration::from_millis(parts.deadline.saturating_sub(now()));
             let mut sending = std::pin::pin!(sender.send_request(request));
@@ -480,7 +482,7 @@
                     let early = tokio::time::timeout(patience.min(left), sending.as_mut());
                     match early.await {
                         Ok(answer) => break 'answer Ok(answer.map_err(anyhow::Error::from)),
-                        Err(_) if (self.budget)(&mapping.service) => {
+                        Err(_) if (self.retry_budget)(&mapping.service) => {
                             is_paid = true;
                             self.metrics.increment("left-late");
                             break 'answer Ok(Err(anyhow::anyhow!("it takes too long")));
@@ -497,25 +499,27 @@
                 }
             };
             let verdict = match &answer {
-                Ok(Ok(answer)) => {
-                    (self.carriage.speech.judge)(parts, answer.status(), answer.headers())
-                }
-                _ => Verdict::Answer,
+                Ok(Ok(answer)) => (self.options.engine_protocol.classify_response)(
+                    parts,
+                    answer.status(),
+                    answer.headers(),
+                ),
+                _ => ResponseClass::Response,
             };
             match (answer, verdict) {
-                (Ok(Ok(_)), verdict @ (Verdict::Declined | Verdict::Misplaced)) => {
+                (Ok(Ok(_)), verdict @ (ResponseClass::NotRun | ResponseClass::WrongEngine)) => {
                     match verdict {
-                        Verdict::Misplaced => seat.ended(),
+                        ResponseClass::WrongEngine => seat.ended(),
                         _ => seat.declined(),
                     }
                     self.metrics.increment("declined");
                     avoid.push(seat.name.clone());
-                    step(job, RequestEvent::NotRun);
+                    apply_event(job, RequestEvent::NotRun);
                 }
-                (Ok(Ok(answer)), Verdict::Answer) if has_end(&answer, &parts.method) => {
+                (Ok(Ok(answer)), ResponseClass::Response) if has_end(&answer, &parts.method) => {
                     seat.began();
-                    step(job, RequestEvent::ResponseStarted);
-                    let lane = Lane {
+                    apply_event(job, RequestEvent::ResponseStarted);
+                    let lane = PooledConnection {
                         sender,
                         slot,
                         driver,
@@ -524,30 +528,30 @@
                 }
                 (Ok(Ok(_)), verdict) => {
                     let why = match verdict {
-                        Verdict::Foreign(why) => why,
+                        ResponseClass::Unrelated(why) => why,
                         _ => "it has no end mark",
                     };
                     log::warn!(job = parts.id.as_str(), engine = seat.name.as_str();
                         "not an answer to this job: {why}");
                     self.metrics.increment("answers-foreign");
                     avoid.push(seat.name.clone());
-                    step(job, RequestEvent::ResponseLost);
+                    apply_event(job, RequestEvent::ResponseLost);
                     if job.state() == RequestState::Failed {
                         return Err(unknown(502, "engine-answer", "the engine's answer is none"));
                     }
                 }
-                (Ok(Err(_)), _) if !has_left.load(Ordering::SeqCst) => {
+                (Ok(Err(_)), _) if !first_byte_sent.load(Ordering::SeqCst) => {
                     self.metrics.increment("held-at-the-gate");
-                    step(job, RequestEvent::NothingSent);
+                    apply_event(job, RequestEvent::NothingSent);
                 }
                 (Ok(Err(error)), _) => {
                     log::info!(job = parts.id.as_str(), engine = seat.name.as_str();
                         "the answer was lost: {error}");
                     self.metrics.increment("answers-lost");
                     seat.suspect();
-                    self.lanes.forget(&seat.name);
+                    self.connections.discard(&seat.name);
                     avoid.push(seat.name.clone());
-                    step(job, RequestEvent::ResponseLost);
+                    apply_event(job, RequestEvent::ResponseLost);
                     if job.state() == RequestState::Failed {
                         return Err(unknown(
                             502,
@@ -563,7 +567,7 @@
 
     async fn connect(&self, to: SocketAddr) -> std::io::Result<TcpStream> {
         let connecting = link::connect(self.source, to);
-        match tokio::time::timeout(self.carriage.connect, connecting).await {
+        match tokio::time::timeout(self.options.connect_timeout, connecting).await {
             Ok(done) => done,
             Err(_) => Err(std::io::ErrorKind::TimedOut.into()),
         }
@@ -574,37 +578,37 @@
     fn patience(
         &self,
         job: &RequestStateMachine,
-        parts: &Parts,
-        seat: &Seat,
-        carried: &Carried,
+        parts: &RequestParts,
+        seat: &EngineSlot,
+        carried: &RequestBody,
     ) -> Option<Duration> {
         let may_leave = job.is_idempotent()
             && job.has_attempts_left()
             && !carried.is_spent
-            && self.carriage.patience > 0.0
+            && self.options.abandon_after_fraction > 0.0
             && parts.aim_ms > 0;
-        let wait = seat.expected_ms() + self.carriage.patience * parts.aim_ms as f64;
+        let wait = seat.expected_ms() + self.options.abandon_after_fraction * parts.aim_ms as f64;
         may_leave.then(|| Duration::from_millis(wait as u64))
     }
 
     fn request(
         &self,
-        parts: &Parts,
-        seat: &Seat,
+        parts: &RequestParts,
+        seat: &EngineSlot,
         mapping: &Mapping,
-        carried: &mut Carried,
-    ) -> hyper::Request<Flow> {
+        carried: &mut RequestBody,
+    ) -> hyper::Request<OutgoingBody> {
         let mut headers = parts.headers.clone();
-        clean(&mut headers);
-        let dress = Dress {
+        strip_connection_headers(&mut headers);
+        let dress = HeaderContext {
             id: &parts.id,
             engine: &seat.name,
             address: seat.address,
             tenant: &mapping.tenant,
-            left_ms: parts.deadline.saturating_sub(now()).max(1),
+            remaining_ms: parts.deadline.saturating_sub(now()).max(1),
             urgency: parts.urgency,
         };
-        (self.carriage.speech.dress)(&mut headers, &dress);
+        (self.options.engine_protocol.rewrite_headers)(&mut headers, &dress);
         let mut request = hyper::Request::new(carried.take());
         *request.method_mut() = parts.method.clone();
         *request.uri_mut() = parts
@@ -618,8 +622,8 @@
     fn note(
         &self,
         job: &RequestStateMachine,
-        parts: &Parts,
-        seat: &Seat,
+        parts: &RequestParts,
+        seat: &EngineSlot,
         mapping: &Mapping,
     ) -> Box<dyn Fn() + Send> {
         let (metrics, view) = (Arc::clone(&self.metrics), self.view.clone());
@@ -663,20 +667,20 @@
         wanted: &Wanted<'_>,
         asked: u64,
         deadline: u64,
-    ) -> Result<Seat, Refusal> {
+    ) -> Result<EngineSlot, Refusal> {
         loop {
-            let room = self.roster.room.notified();
+            let room = self.engine_tracker.capacity_changed.notified();
             tokio::pin!(room);
             room.as_mut().enable();
             let view = self.view.borrow().clone();
-            let (until, refusal) = match self.roster.elect(&view, mapping, wanted) {
-                Elected::Engine(seat) => return Ok(seat),
-                Elected::Full => (
-                    (asked + self.room_wait).min(deadline),
+            let (until, refusal) = match self.engine_tracker.select_engine(&view, mapping, wanted) {
+                Selection::Engine(seat) => return Ok(seat),
+                Selection::AtCapacity => (
+                    (asked + self.slot_wait_ms).min(deadline),
                     Refusal::not_run(503, "engines-full", "every engine allowed is at its limit"),
                 ),
-                Elected::Nobody => (
-                    (asked + self.carriage.sight_wait).min(deadline),
+                Selection::NoneAvailable => (
+                    (asked + self.options.discovery_wait_ms).min(deadline),
                     Refusal::not_run(503, "no-engine", "no engine allowed is in sight"),
                 ),
             };
@@ -693,30 +697,30 @@
     fn relay(
         &self,
         job: RequestStateMachine,
-        parts: &Parts,
+        parts: &RequestParts,
         answer: hyper::Response<Incoming>,
-        seat: Seat,
-        lane: Lane,
-    ) -> Answer {
+        seat: EngineSlot,
+        lane: PooledConnection,
+    ) -> EngineResponse {
         let (head, body) = answer.into_parts();
         let mut headers = head.headers;
-        let kept_ms = match self.carriage.kept_ms {
+        let idle_timeout_ms = match self.options.idle_timeout_ms {
             0 => 0,
-            most => kept_ms(&headers).unwrap_or(most),
+            most => idle_timeout_ms(&headers).unwrap_or(most),
         };
-        clean(&mut headers);
-        let relay = Relay {
+        strip_connection_headers(&mut headers);
+        let relay = RelayedBody {
             body,
             job,
             id: parts.id.clone(),
             seat,
             metrics: Arc::clone(&self.metrics),
-            idle: Box::pin(tokio::time::sleep(IDLE)),
+            idle: Box::pin(tokio::time::sleep(STREAM_IDLE_TIMEOUT)),
             lane: Some(lane),
-            lanes: Arc::clone(&self.lanes),
-            kept_ms,
+            connections: Arc::clone(&self.connections),
+            idle_timeout_ms,
         };
-        Answer {
+        EngineResponse {
             status: head.status,
             headers,
             body: relay,
@@ -743,23 +747,23 @@
 }
 
 /// An answer on its way. What the engine breaks off, this breaks off.
-pub struct Relay {
+pub struct RelayedBody {
     body: Incoming,
     job: RequestStateMachine,
     id: String,
-    seat: Seat,
+    seat: EngineSlot,
     metrics: Arc<Metrics>,
     idle: Pin<Box<tokio::time::Sleep>>,
-    lane: Option<Lane>,
-    lanes: Arc<Lanes>,
-    kept_ms: u64,
+    lane: Option<PooledConnection>,
+    connections: Arc<ConnectionPool>,
+    idle_timeout_ms: u64,
 }
 
 /// The longest time that an engine's word on its idle connections is believed for.
 const LONGEST_KEPT_MS: u64 = 3_600_000;
 
 /// How long an engine keeps an idle connection by its own word, less a margin.
-fn kept_ms(headers: &HeaderMap) -> Option<u64> {
+fn idle_timeout_ms(headers: &HeaderMap) -> Option<u64> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = text
         .split(',')
@@ -769,19 +773,20 @@
     Some(stated_ms.saturating_sub(300))
 }
 
-impl Relay {
+impl RelayedBody {
     pub fn engine(&self) -> &str {
         &self.seat.name
     }
 
     fn end(&mut self, event: RequestEvent) {
         if self.job.state() == RequestState::Responding {
-            step(&mut self.job, event);
+            apply_event(&mut self.job, event);
             match event {
                 RequestEvent::ResponseEnded => {
                     self.metrics.increment("answers-whole");
                     if let Some(lane) = self.lane.take() {
-                        self.lanes.give(&self.seat.name, self.kept_ms, lane);
+                        self.connections
+                            .release(&self.seat.name, self.idle_timeout_ms, lane);
                     }
                 }
                 RequestEvent::ResponseBroken => {
@@ -796,7 +801,7 @@
     }
 }
 
-impl Drop for Relay {
+impl Drop for RelayedBody {
     fn drop(&mut self) {
         // hyper drops a body without a last poll where its length is reached.
         let event = match self.body.is_end_stream() {
@@ -807,7 +812,7 @@
     }
 }
 
-impl Body for Relay {
+impl Body for RelayedBody {
     type Data = Bytes;
     type Error = anyhow::Error;
 
@@ -817,7 +822,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, anyhow::Error>>> {
         match Pin::new(&mut self.body).poll_frame(context) {
             Poll::Ready(Some(Ok(frame))) => {
-                self.idle.as_mut().reset(tokio::time::Instant::now() + IDLE);
+                self.idle
+                    .as_mut()
+                    .reset(tokio::time::Instant::now() + STREAM_IDLE_TIMEOUT);
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
--- a/dispatch/src/roster.rs
+++ b/dispatch/src/engine_tracker.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
-use transport::{jitter, link, now};
+use transport::{jitter, link, now, AbortOnDrop};
 
 const LINE_CAP: usize = 4096;
 /// How often engines that failed are looked at.
@@ -25,12 +25,12 @@
 pub type Peers = Box<dyn Fn() -> Vec<u64> + Send + Sync>;
 
 /// What an election gave.
-pub enum Elected {
-    Engine(Seat),
+pub enum Selection {
+    Engine(EngineSlot),
     /// All that could take the job are at their limit.
-    Full,
+    AtCapacity,
     /// No engine that may take it is in sight.
-    Nobody,
+    NoneAvailable,
 }
 
 /// How engines are known: by their own vitals, or by their answers alone.
@@ -39,20 +39,20 @@
     Answers(Mutex<Estimates>),
 }
 
-pub struct Roster {
+pub struct EngineTracker {
     source: SocketAddr,
     sight: Sight,
-    readers: Mutex<BTreeMap<String, Aborting>>,
+    readers: Mutex<BTreeMap<String, AbortOnDrop>>,
     peers: Peers,
     /// Told when room may have come up.
-    pub room: Notify,
+    pub capacity_changed: Notify,
     /// Told when there may be news for others.
-    pub news: Notify,
+    pub load_changed: Notify,
 }
 
 /// A job's place at an engine, given back when dropped.
-pub struct Seat {
-    roster: Arc<Roster>,
+pub struct EngineSlot {
+    engine_tracker: Arc<EngineTracker>,
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
@@ -64,9 +64,9 @@
     reading: Option<(u64, f64, f64)>,
 }
 
-impl Drop for Seat {
+impl Drop for EngineSlot {
     fn drop(&mut self) {
-        match &self.roster.sight {
+        match &self.engine_tracker.sight {
             Sight::Vitals(engines) => engines.lock().release(&self.name),
             Sight::Answers(estimates) => {
                 let mut estimates = estimates.lock();
@@ -74,22 +74,22 @@
                 if let Some((_, _, tokens)) = self.reading {
                     estimates.read(&self.name, tokens);
                 }
-                self.roster.news.notify_one();
+                self.engine_tracker.load_changed.notify_one();
             }
         }
-        self.roster.room.notify_waiters();
+        self.engine_tracker.capacity_changed.notify_waiters();
     }
 }
 
-impl Seat {
+impl EngineSlot {
     /// A closure that says whether the place is still to be had: the engine was
     /// heard without a break, and a cold one's slot has not lapsed.
     pub fn hold(&self) -> impl Fn() -> bool + Send + Sync + 'static {
-        let (roster, name) = (Arc::clone(&self.roster), self.name.clone());
+        let (engine_tracker, name) = (Arc::clone(&self.engine_tracker), self.name.clone());
         let (until, losses) = (self.until, self.losses);
         move || {
             until.is_none_or(|until| now() < until)
-                && match &roster.sight {
+                && match &engine_tracker.sight {
                     Sight::Vitals(engines) => engines.lock().is_unbroken(&name, losses),
                     Sight::Answers(estimates) => estimates.lock().is_known(&name),
                 }
@@ -99,7 +99,7 @@
     /// Ends when the engine has been silent for so long that no answer is to be
     /// expected. One that says nothing of itself is never silent by that.
     pub async fn gone(&self) {
-        let Sight::Vitals(engines) = &self.roster.sight else {
+        let Sight::Vitals(engines) = &self.engine_tracker.sight else {
             return std::future::pending().await;
         };
         while !engines.lock().is_gone(now(), &self.name) {
@@ -109,7 +109,7 @@
 
     /// The engine could not be reached, or broke off.
     pub fn suspect(&self) {
-        match &self.roster.sight {
+        match &self.engine_tracker.sight {
             Sight::Vitals(engines) => engines.lock().suspect(&self.name),
             Sight::Answers(estimates) => estimates.lock().failed(now(), &self.name),
         }
@@ -117,24 +117,24 @@
 
     /// It turned the job away.
     pub fn declined(&self) {
-        if let Sight::Answers(estimates) = &self.roster.sight {
+        if let Sight::Answers(estimates) = &self.engine_tracker.sight {
             estimates.lock().declined(now(), &self.name);
         }
     }
 
     /// Another engine answered at its address.
     pub fn ended(&self) {
-        if let Sight::Answers(estimates) = &self.roster.sight {
+        if let Sight::Answers(estimates) = &self.engine_tracker.sight {
             estimates.lock().ended(now(), &self.name);
         }
     }
 
     /// The job's bytes leave.
     pub fn sent(&mut self, prompt: &Prompt) {
-        if let Sight::Answers(estimates) = &self.roster.sight {
+        if let Sight::Answers(estimates) = &self.engine_tracker.sight {
             let (expected, tokens) = estimates.lock().sent(now(), &self.name, prompt);
             self.reading = Some((now(), expected, tokens));
-            self.roster.news.notify_one();
+            self.engine_tracker.load_changed.notify_one();
         }
     }
 
@@ -146,42 +146,42 @@
     /// The answer begins.
     pub fn began(&mut self) {
         if let (Sight::Answers(estimates), Some((at, expected, tokens))) =
-            (&self.roster.sight, self.reading.take())
+            (&self.engine_tracker.sight, self.reading.take())
         {
             let mut estimates = estimates.lock();
             estimates.read(&self.name, tokens);
             estimates.began(now(), &self.name, expected, now() - at);
-            self.roster.news.notify_one();
+            self.engine_tracker.load_changed.notify_one();
         }
     }
 }
 
-impl Roster {
-    pub fn new(source: SocketAddr, peers: Peers) -> Arc<Roster> {
-        Arc::new(Roster {
+impl EngineTracker {
+    pub fn by_health(source: SocketAddr, peers: Peers) -> Arc<EngineTracker> {
+        Arc::new(EngineTracker {
             source,
             sight: Sight::Vitals(Mutex::default()),
             readers: Mutex::default(),
             peers,
-            room: Notify::new(),
-            news: Notify::new(),
+            capacity_changed: Notify::new(),
+            load_changed: Notify::new(),
         })
     }
 
     /// One of engines that say nothing of themselves.
-    pub fn by_answers(source: SocketAddr, peers: Peers) -> Arc<Roster> {
-        Arc::new(Roster {
+    pub fn by_responses(source: SocketAddr, peers: Peers) -> Arc<EngineTracker> {
+        Arc::new(EngineTracker {
             source,
             sight: Sight::Answers(Mutex::default()),
             readers: Mutex::default(),
             peers,
-            room: Notify::new(),
-            news: Notify::new(),
+            capacity_changed: Notify::new(),
+            load_changed: Notify::new(),
         })
     }
 
     /// The loop: what the view wants, against what is followed.
-    pub async fn run(self: Arc<Roster>, mut view: watch::Receiver<Arc<View>>) {
+    pub async fn run(self: Arc<EngineTracker>, mut view: watch::Receiver<Arc<View>>) {
         loop {
             let wanted = view.borrow_and_update().clone();
             self.reconcile(&wanted);
@@ -191,7 +191,7 @@
         }
     }
 
-    fn reconcile(self: &Arc<Roster>, view: &View) {
+    fn reconcile(self: &Arc<EngineTracker>, view: &View) {
         let (new, gone) = match &self.sight {
             Sight::Vitals(engines) => engines.lock().follow(now(), view),
             Sight::Answers(estimates) => (Vec::new(), estimates.lock().follow(now(), view)),
@@ -204,14 +204,14 @@
                 continue;
             };
             let reader = tokio::spawn(Arc::clone(self).follow(engine.name.clone(), address));
-            readers.insert(engine.name, Aborting(reader.abort_handle()));
+            readers.insert(engine.name, AbortOnDrop(reader.abort_handle()));
         }
         drop(readers);
-        self.room.notify_waiters();
+        self.capacity_changed.notify_waiters();
     }
 
     /// Keeps one engine's vitals stream open.
-    async fn follow(self: Arc<Roster>, name: String, address: SocketAddr) {
+    async fn follow(self: Arc<EngineTracker>, name: String, address: SocketAddr) {
         loop {
             if let Err(error) = self.stream(&name, address).await {
                 log::debug!(engine = name.as_str(); "vitals: {error:#}");
@@ -228,7 +228,7 @@
         let stream = link::connect(self.source, address).await?;
         let (mut sender, connection) =
             hyper::client::conn::http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream)).await?;
-        let driver = Aborting(tokio::spawn(connection).abort_handle());
+        let driver = AbortOnDrop(tokio::spawn(connection).abort_handle());
         let request = hyper::Request::get("/vitals")
             .header("host", address.to_string())
             .body(Empty::new())?;
@@ -281,12 +281,17 @@
         if let Sight::Vitals(engines) = &self.sight {
             engines.lock().heard(now(), name, vitals);
         }
-        self.room.notify_waiters();
+        self.capacity_changed.notify_waiters();
         Ok(())
     }
 
     /// Elects an engine for a job among those that view and mapping allow.
-    pub fn elect(self: &Arc<Roster>, view: &View, mapping: &Mapping, wanted: &Wanted) -> Elected {
+    pub fn select_engine(
+        self: &Arc<EngineTracker>,
+        view: &View,
+        mapping: &Mapping,
+        wanted: &Wanted,
+    ) -> Selection {
         let peers = (self.peers)();
         let me = peers.first().copied().unwrap_or(0);
         let chosen = match &self.sight {
@@ -308,8 +313,8 @@
                 zone,
                 until,
                 losses,
-            } => Elected::Engine(Seat {
-                roster: Arc::clone(self),
+            } => Selection::Engine(EngineSlot {
+                engine_tracker: Arc::clone(self),
                 address: address.parse().expect("checked when it was followed"),
                 name,
                 zone,
@@ -317,27 +322,27 @@
                 losses,
                 reading: None,
             }),
-            Chosen::Full => Elected::Full,
-            Chosen::Nobody => Elected::Nobody,
+            Chosen::Full => Selection::AtCapacity,
+            Chosen::Nobody => Selection::NoneAvailable,
         }
     }
 
     /// What is to be told to other processes now.
-    pub fn take_news(&self) -> News {
+    pub fn take_load_update(&self) -> News {
         match &self.sight {
             Sight::Vitals(_) => News::default(),
             Sight::Answers(estimates) => estimates.lock().news(now()),
         }
     }
 
-    pub fn told(&self, from: &str, news: &News) {
+    pub fn apply_load_update(&self, from: &str, news: &News) {
         if let Sight::Answers(estimates) = &self.sight {
             estimates.lock().told(now(), from, news);
         }
     }
 
     /// Looks at engines that failed, until each can be reached again.
-    pub async fn probe(self: Arc<Roster>) {
+    pub async fn probe_suspects(self: Arc<EngineTracker>) {
         let Sight::Answers(estimates) = &self.sight else {
             return;
         };
@@ -345,15 +350,15 @@
             tokio::time::sleep(jitter(PROBE_MS)).await;
             let due = estimates.lock().suspects(now());
             for (name, address) in due {
-                let (roster, source) = (Arc::clone(&self), self.source);
+                let (engine_tracker, source) = (Arc::clone(&self), self.source);
                 let Ok(address) = address.parse() else {
                     continue;
                 };
                 tokio::spawn(async move {
                     let reached = link::connect(source, address).await;
-                    if let (Ok(_), Sight::Answers(estimates)) = (reached, &roster.sight) {
+                    if let (Ok(_), Sight::Answers(estimates)) = (reached, &engine_tracker.sight) {
                         estimates.lock().reached(&name);
-                        roster.room.notify_waiters();
+                        engine_tracker.capacity_changed.notify_waiters();
                     }
                 });
             }
@@ -369,7 +374,7 @@
     }
 
     /// For operators: name, running here, limit as of now, heard how long ago.
-    pub fn value(&self, fill: f64) -> simd_json::OwnedValue {
+    pub fn to_json(&self, fill: f64) -> simd_json::OwnedValue {
         let list: Vec<simd_json::OwnedValue> = match &self.sight {
             Sight::Vitals(engines) => {
                 let engines = engines.lock();
@@ -403,12 +408,3 @@
         simd_json::OwnedValue::from(list)
     }
 }
-
-/// Ends a task when dropped.
-pub struct Aborting(pub tokio::task::AbortHandle);
-
-impl Drop for Aborting {
-    fn drop(&mut self) {
-        self.0.abort();
-    }
-}
--- a/dispatch/src/gate.rs
+++ b/dispatch/src/guard.rs
@@ -1,6 +1,6 @@
 //! The last look at a job before its first byte leaves for an engine.
 
-use crate::Leave;
+use crate::PermitDispatch;
 use hyper_util::rt::TokioIo;
 use parking_lot::Mutex;
 use residency::{Mapping, View};
@@ -14,9 +14,9 @@
 use transport::web::Refusal;
 
 /// Everything that must hold when the first byte of a job leaves for an engine.
-pub struct LastLook {
+pub struct DispatchGuard {
     pub view: watch::Receiver<Arc<View>>,
-    pub leave: Leave,
+    pub permit: PermitDispatch,
     pub mapping: Arc<Mapping>,
     /// Empty where the job's route is public.
     pub key: String,
@@ -27,37 +27,37 @@
 }
 
 /// What stands against it.
-pub enum Against {
+pub enum GuardError {
     Deadline,
     Key,
-    Leave(Refusal),
+    NotPermitted(Refusal),
     /// The engine may not have it any more; another one may.
     Engine,
 }
 
-impl LastLook {
-    pub fn look(&self) -> Result<(), Against> {
+impl DispatchGuard {
+    pub fn look(&self) -> Result<(), GuardError> {
         if now() >= self.deadline {
-            return Err(Against::Deadline);
+            return Err(GuardError::Deadline);
         }
         let view = self.view.borrow();
         if !self.key.is_empty() && !view.keys.contains_key(&self.key) {
-            return Err(Against::Key);
+            return Err(GuardError::Key);
         }
         let may_have = placement::may_have(&view, &self.mapping, &self.engine, &self.address);
         drop(view);
-        (self.leave)(&self.mapping).map_err(Against::Leave)?;
+        (self.permit)(&self.mapping).map_err(GuardError::NotPermitted)?;
         match may_have && (self.is_held)() {
             true => Ok(()),
-            false => Err(Against::Engine),
+            false => Err(GuardError::Engine),
         }
     }
 }
 
 /// What waits for the first byte of the next job on a connection.
-pub struct Armed {
-    pub look: LastLook,
-    pub has_left: Arc<AtomicBool>,
+pub struct ArmedGuard {
+    pub look: DispatchGuard,
+    pub first_byte_sent: Arc<AtomicBool>,
     /// Writes down that the job leaves.
     pub note: Box<dyn Fn() + Send>,
 }
@@ -65,31 +65,31 @@
 /// Where the next job of a connection puts its look. Invariant: it is filled
 /// before the job's request is handed to the connection.
 #[derive(Default)]
-pub struct Slot(Mutex<Option<Armed>>);
+pub struct GuardSlot(Mutex<Option<ArmedGuard>>);
 
-impl Slot {
-    pub fn arm(&self, armed: Armed) {
+impl GuardSlot {
+    pub fn arm(&self, armed: ArmedGuard) {
         *self.0.lock() = Some(armed);
     }
 }
 
 /// A connection whose first byte of each job waits for one more look, in the very
 /// call that hands it to the kernel: a process that froze after the look before,
-/// and wakes later, sends nothing. Invariant: `has_left` is set before any byte
+/// and wakes later, sends nothing. Invariant: `first_byte_sent` is set before any byte
 /// is handed over.
-pub struct Gate {
+pub struct GuardedStream {
     pub stream: TokioIo<TcpStream>,
-    pub slot: Arc<Slot>,
+    pub slot: Arc<GuardSlot>,
 }
 
-impl Gate {
+impl GuardedStream {
     fn pass(&mut self) -> std::io::Result<()> {
         let mut slot = self.slot.0.lock();
         if let Some(armed) = &*slot {
             if armed.look.look().is_err() {
                 return Err(std::io::ErrorKind::PermissionDenied.into());
             }
-            armed.has_left.store(true, Ordering::SeqCst);
+            armed.first_byte_sent.store(true, Ordering::SeqCst);
             (armed.note)();
             *slot = None;
         }
@@ -97,7 +97,7 @@
     }
 }
 
-impl hyper::rt::Read for Gate {
+impl hyper::rt::Read for GuardedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -107,7 +107,7 @@
     }
 }
 
-impl hyper::rt::Write for Gate {
+impl hyper::rt::Write for GuardedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -1,9 +1,9 @@
 //! Sending a request to an engine and relaying its response.
 
+pub mod connection_pool;
 mod dispatcher;
-pub mod gate;
-pub mod lanes;
+pub mod engine_tracker;
+pub mod guard;
 pub mod quota;
-pub mod roster;
 
 pub use dispatcher::*;
--- a/dispatch/src/quota.rs
+++ b/dispatch/src/quota.rs
@@ -16,17 +16,17 @@
     Taps(Mutex<Taps>),
 }
 
-pub struct Quota {
+pub struct QuotaLimiter {
     means: Means,
     /// A job waits: speak to the leader at once.
     pub urgent: Notify,
     told: Notify,
 }
 
-impl Default for Quota {
-    fn default() -> Quota {
+impl Default for QuotaLimiter {
+    fn default() -> QuotaLimiter {
         let means = Means::Meters(Mutex::new(Meters::new(now(), rand::random())));
-        Quota {
+        QuotaLimiter {
             means,
             urgent: Notify::new(),
             told: Notify::new(),
@@ -49,25 +49,25 @@
     }
 }
 
-impl Quota {
+impl QuotaLimiter {
     /// One under which no job waits; the margin is the fleet's.
-    pub fn without_waiting(margin: Margin) -> Quota {
+    pub fn without_queue(margin: Margin) -> QuotaLimiter {
         let means = Means::Taps(Mutex::new(Taps::new(now(), rand::random(), margin)));
-        Quota {
+        QuotaLimiter {
             means,
             urgent: Notify::new(),
             told: Notify::new(),
         }
     }
 
-    pub fn demands(&self, front: &str, number: u64) -> FrontDemand {
+    pub fn lease_demands(&self, front: &str, number: u64) -> FrontDemand {
         match &self.means {
             Means::Meters(meters) => meters.lock().demands(now(), front, number),
             Means::Taps(taps) => taps.lock().demands(now(), front, number),
         }
     }
 
-    pub fn take(&self, number: u64, until: u64, shares: &[Share]) {
+    pub fn apply_shares(&self, number: u64, until: u64, shares: &[Share]) {
         match &self.means {
             Means::Meters(meters) => meters.lock().take(now(), number, until, shares),
             Means::Taps(taps) => taps.lock().take(now(), number, until, shares),
@@ -75,7 +75,7 @@
         self.told.notify_waiters();
     }
 
-    pub fn is_waited_for(&self) -> bool {
+    pub fn has_waiters(&self) -> bool {
         match &self.means {
             Means::Meters(meters) => meters.lock().is_waited_for(),
             Means::Taps(_) => false,
--- a/router/src/extensions.rs
+++ b/router/src/extensions.rs
@@ -2,7 +2,7 @@
 //! interface is the first filling of each.
 
 use crate::Router;
-use dispatch::Carriage;
+use dispatch::DispatchOptions;
 use http::HeaderMap;
 use parking_lot::Mutex;
 use placement::{Margin, RetryTokenBucket};
@@ -91,7 +91,7 @@
 #[derive(Default)]
 pub struct Extensions {
     pub clients: ClientAdapter,
-    pub carriage: Carriage,
+    pub dispatch: DispatchOptions,
     pub retries: RetryPolicy,
     pub servers: Vec<AdditionalServer>,
     /// How far past its quota a tenant may get over all routers, where no job is to
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -3,8 +3,10 @@
 
 use crate::{cache_tiers::LookupPermit, membership, Router};
 use bytes::Bytes;
-use dispatch::roster::Aborting;
-use dispatch::{clean, headers_of, headers_to, step, Carried, Parts, Piped, Rest, IDLE};
+use dispatch::{
+    apply_event, headers_from_frame, headers_to_frame, strip_connection_headers, BodyStream,
+    ChannelBody, RequestBody, RequestParts, STREAM_IDLE_TIMEOUT,
+};
 use dropshot::Body;
 use http_body_util::BodyExt;
 use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
@@ -17,6 +19,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use transport::web::{Refusal, Response};
+use transport::AbortOnDrop;
 use transport::{link, now};
 
 /// How long a node has to say that it is there.
@@ -66,8 +69,8 @@
 pub async fn forward(
     router: &Arc<Router>,
     job: &mut RequestStateMachine,
-    parts: &Parts,
-    carried: &mut Carried,
+    parts: &RequestParts,
+    carried: &mut RequestBody,
     tenant: Option<&str>,
     permit: Option<&LookupPermit>,
 ) -> ForwardOutcome {
@@ -88,7 +91,7 @@
                     let text = "this tenant key was taken away meanwhile";
                     return ForwardOutcome::Refused(Refusal::not_run(401, "unknown-key", text));
                 }
-                step(job, RequestEvent::Forwarded);
+                apply_event(job, RequestEvent::Forwarded);
                 router.metrics.increment("forwards");
                 log::info!(job = parts.id.as_str(), directory = node.to_string(); "handed on");
                 let conversation = converse(router, job, parts, carried, permit, reader, writer);
@@ -97,7 +100,7 @@
                     Ok(Ok(handed)) => handed,
                     Ok(Err(error)) => {
                         log::info!(job = parts.id.as_str(); "lost at {node}: {error:#}");
-                        step(job, RequestEvent::ResponseLost);
+                        apply_event(job, RequestEvent::ResponseLost);
                         lost(502, "directory-lost", "the directory node broke off")
                     }
                     Err(_) => lost(504, "deadline", "the job's deadline passed"),
@@ -138,19 +141,19 @@
 async fn converse(
     router: &Arc<Router>,
     job: &mut RequestStateMachine,
-    parts: &Parts,
-    carried: &mut Carried,
+    parts: &RequestParts,
+    carried: &mut RequestBody,
     permit: Option<&LookupPermit>,
     mut reader: OwnedReadHalf,
     mut writer: OwnedWriteHalf,
 ) -> anyhow::Result<ForwardOutcome> {
     let mut headers = parts.headers.clone();
-    clean(&mut headers);
+    strip_connection_headers(&mut headers);
     let head = JobHead {
         id: parts.id.clone(),
         method: parts.method.to_string(),
         target: parts.target.clone(),
-        headers: headers_to(&headers),
+        headers: headers_to_frame(&headers),
         region: router.settings.region.clone(),
         epoch: router.view.borrow().epoch,
         left_ms: parts.deadline.saturating_sub(now()),
@@ -174,7 +177,7 @@
     let service = permit
         .and_then(|permit| permit.key().split_once('/'))
         .map_or("", |pair| pair.1);
-    let has_budget = || (router.dispatcher.budget)(service);
+    let has_budget = || (router.dispatcher.retry_budget)(service);
     loop {
         match link::receive(&mut reader, protocol::CAP).await? {
             Some(Frame::Mapped(found)) => {
@@ -203,7 +206,7 @@
                     || code == "engines-full"
                     || code == "engines-unreachable" && has_budget()) =>
             {
-                step(job, RequestEvent::ForwardNotRun);
+                apply_event(job, RequestEvent::ForwardNotRun);
                 router.metrics.increment("handed-back");
                 if code == "engines-unreachable" {
                     log::info!(job = parts.id.as_str(); "a further round");
@@ -219,16 +222,18 @@
             }) => {
                 let mut refusal = Refusal::not_run(status, &code, text);
                 if !not_run {
-                    step(job, RequestEvent::ResponseLost);
+                    apply_event(job, RequestEvent::ResponseLost);
                     refusal.outcome = ExecutionOutcome::Unknown;
                 }
                 refusal.retry_after_ms = Some(retry_after_ms).filter(|ms| *ms > 0);
                 return Ok(ForwardOutcome::Refused(refusal));
             }
             Some(Frame::AnswerHead { status, headers }) => {
-                let (status, headers) =
-                    (http::StatusCode::from_u16(status)?, headers_of(&headers)?);
-                step(job, RequestEvent::ResponseStarted);
+                let (status, headers) = (
+                    http::StatusCode::from_u16(status)?,
+                    headers_from_frame(&headers)?,
+                );
+                apply_event(job, RequestEvent::ResponseStarted);
                 let (pieces, body) = mpsc::channel(8);
                 let relay = Relay {
                     reader,
@@ -246,7 +251,7 @@
                         }
                     }
                 });
-                let mut response = hyper::Response::new(Body::wrap(Piped(body)));
+                let mut response = hyper::Response::new(Body::wrap(ChannelBody(body)));
                 *response.status_mut() = status;
                 *response.headers_mut() = headers;
                 return Ok(ForwardOutcome::Response(response));
@@ -266,7 +271,7 @@
 
 /// Sends the rest of a body, then keeps the way open: its closing would say
 /// that this router is gone.
-fn send_rest(mut rest: Rest, mut writer: OwnedWriteHalf) -> Aborting {
+fn send_rest(mut rest: BodyStream, mut writer: OwnedWriteHalf) -> AbortOnDrop {
     let task = tokio::spawn(async move {
         let done = async {
             while let Some(frame) = rest.frame().await {
@@ -283,7 +288,7 @@
             std::future::pending::<()>().await;
         }
     });
-    Aborting(task.abort_handle())
+    AbortOnDrop(task.abort_handle())
 }
 
 /// An answer on its way through a directory node. Invariant: the caller's body
@@ -292,14 +297,14 @@
     reader: OwnedReadHalf,
     pieces: mpsc::Sender<anyhow::Result<Bytes>>,
     _way: Option<OwnedWriteHalf>,
-    _upload: Option<Aborting>,
+    _upload: Option<AbortOnDrop>,
 }
 
 impl Relay {
     async fn run(mut self) -> anyhow::Result<()> {
         let end = loop {
             let frame = tokio::select! {
-                frame = tokio::time::timeout(IDLE, link::receive(&mut self.reader, protocol::CAP)) => frame,
+                frame = tokio::time::timeout(STREAM_IDLE_TIMEOUT, link::receive(&mut self.reader, protocol::CAP)) => frame,
                 () = self.pieces.closed() => anyhow::bail!("the client left"),
             };
             match frame {
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -5,7 +5,7 @@
 use crate::{membership, Router};
 use anyhow::Context;
 use bytes::BytesMut;
-use dispatch::{step, Carried, Parts, Rest};
+use dispatch::{apply_event, BodyStream, RequestBody, RequestParts};
 use dropshot::Body;
 use http_body_util::BodyExt;
 use hyper::body::Body as _;
@@ -303,20 +303,20 @@
             client = reader.tenant(&extract)?;
         }
     }
-    step(&mut job, RequestEvent::RoutingKeyExtracted);
+    apply_event(&mut job, RequestEvent::RoutingKeyExtracted);
     if let Some(client) = client.as_ref().filter(|_| !rule.is_public) {
         *claim = Some(Claim::new(router, &client.key, id)?);
     }
     // Also where the piece that went past the cap was the last one.
     let is_past_cap = held.len() >= BODY_LIMIT_BYTES;
     let rest = (!is_ended).then(|| rest_of(body, longest.saturating_sub(held.len())));
-    let mut carried = Carried::new(held.freeze(), rest);
+    let mut carried = RequestBody::new(held.freeze(), rest);
     let target = head
         .uri
         .path_and_query()
         .map_or("/", |target| target.as_str())
         .to_string();
-    let parts = Parts {
+    let parts = RequestParts {
         id: id.into(),
         method: head.method.clone(),
         target,
@@ -389,7 +389,7 @@
 }
 
 /// The rest of a caller's body, with a bound on its length.
-fn rest_of(body: Body, left: usize) -> Rest {
+fn rest_of(body: Body, left: usize) -> BodyStream {
     let limited = http_body_util::Limited::new(body, left);
     limited
         .map_err(|error| anyhow::anyhow!("{error}"))
@@ -472,8 +472,8 @@
 async fn unkeyed(
     router: &Arc<Router>,
     mut job: RequestStateMachine,
-    parts: &Parts,
-    carried: &mut Carried,
+    parts: &RequestParts,
+    carried: &mut RequestBody,
     tenant: Option<String>,
 ) -> Result<Response, Refusal> {
     router.metrics.increment("unkeyed");
@@ -490,8 +490,8 @@
 async fn route_keyed(
     router: &Arc<Router>,
     mut job: RequestStateMachine,
-    parts: &Parts,
-    mut carried: Carried,
+    parts: &RequestParts,
+    mut carried: RequestBody,
     keyed: &Keyed,
 ) -> Result<Response, Refusal> {
     let key = residency::routing_key(&keyed.tenant, &keyed.service);
@@ -506,7 +506,7 @@
         let view = router.view.borrow().clone();
         let mapping = within(&view, mapping, &keyed.homes)?;
         let mut chart = job;
-        step(&mut chart, RequestEvent::MappingResolved);
+        apply_event(&mut chart, RequestEvent::MappingResolved);
         let work =
             router
                 .dispatcher
@@ -599,8 +599,8 @@
 async fn missed(
     router: &Arc<Router>,
     job: &mut RequestStateMachine,
-    parts: &Parts,
-    carried: &mut Carried,
+    parts: &RequestParts,
+    carried: &mut RequestBody,
     key: &str,
     keyed: &Keyed,
 ) -> Result<Missed, Refusal> {
@@ -646,7 +646,7 @@
         ForwardOutcome::Refused(_)
             if job.state() == RequestState::Identified
                 && carried.is_whole()
-                && (router.dispatcher.budget)(&keyed.service) =>
+                && (router.dispatcher.retry_budget)(&keyed.service) =>
         {
             router.metrics.increment("retries");
             log::info!(job = parts.id.as_str(); "a further round");
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -14,9 +14,9 @@
 pub use ingress::lookup_routers;
 
 use anyhow::Context;
-use dispatch::lanes::Lanes;
-use dispatch::quota::Quota;
-use dispatch::roster::Roster;
+use dispatch::connection_pool::ConnectionPool;
+use dispatch::engine_tracker::EngineTracker;
+use dispatch::quota::QuotaLimiter;
 use dispatch::Dispatcher;
 use parking_lot::{Mutex, RwLock};
 use residency::View;
@@ -82,7 +82,7 @@
     pub membership: Arc<RwLock<membership::Membership>>,
     pub cache_tiers: cache_tiers::CacheTiers,
     pub pending_lookups: session::PendingLookups,
-    pub quota: Quota,
+    pub quota: QuotaLimiter,
     /// The number of the last beat, over all sessions.
     pub heartbeats: AtomicU64,
     pub dispatcher: Dispatcher,
@@ -133,20 +133,20 @@
     let membership = Arc::new(RwLock::new(membership::Membership::default()));
     let known = Arc::clone(&membership);
     let peers = Box::new(move || known.read().peers());
-    let roster = match extensions.uses_passive_health_checks {
-        true => Roster::by_answers(settings.peer_listen_address, peers),
-        false => Roster::new(settings.peer_listen_address, peers),
+    let engine_tracker = match extensions.uses_passive_health_checks {
+        true => EngineTracker::by_responses(settings.peer_listen_address, peers),
+        false => EngineTracker::by_health(settings.peer_listen_address, peers),
     };
-    tokio::spawn(Arc::clone(&roster).run(view_out.clone()));
-    let carriage = std::mem::take(&mut extensions.carriage);
+    tokio::spawn(Arc::clone(&engine_tracker).run(view_out.clone()));
+    let options = std::mem::take(&mut extensions.dispatch);
     let servers = std::mem::take(&mut extensions.servers);
-    let lanes: Arc<Lanes> = Arc::default();
-    if carriage.kept_ms > 0 {
-        let (lanes, roster) = (Arc::clone(&lanes), Arc::clone(&roster));
+    let connections: Arc<ConnectionPool> = Arc::default();
+    if options.idle_timeout_ms > 0 {
+        let (connections, engine_tracker) = (Arc::clone(&connections), Arc::clone(&engine_tracker));
         tokio::spawn(async move {
             loop {
                 tokio::time::sleep(Duration::from_millis(700)).await;
-                lanes.sweep(|engine| roster.is_listed(engine));
+                connections.evict_expired(|engine| engine_tracker.is_listed(engine));
             }
         });
     }
@@ -156,11 +156,11 @@
         let router = router.clone();
         let dispatcher = Dispatcher {
             source: settings.peer_listen_address,
-            room_wait: settings.slot_wait_ms,
-            roster,
+            slot_wait_ms: settings.slot_wait_ms,
+            engine_tracker,
             view: view_out,
             metrics: Arc::clone(&metrics),
-            budget: Box::new(move |service| {
+            retry_budget: Box::new(move |service| {
                 // A part of the fleet that sees no other is not the whole of it.
                 let known = sharers
                     .read()
@@ -168,7 +168,7 @@
                     .max(fleet.borrow().router_count as usize);
                 spend(now(), service, known)
             }),
-            leave: Arc::new(move |mapping| match router.upgrade() {
+            permit: Arc::new(move |mapping| match router.upgrade() {
                 Some(router) if router.cache_tiers.is_void(mapping) => {
                     let text = "the mapping changed meanwhile";
                     Err(Refusal::not_run(503, "mapping-void", text))
@@ -176,8 +176,8 @@
                 Some(router) => router.check_lease(),
                 None => Err(Refusal::not_run(503, "leaving", "this router is stopping")),
             }),
-            carriage,
-            lanes,
+            options,
+            connections,
         };
         Router {
             view,
@@ -192,7 +192,7 @@
             pending_lookups: Default::default(),
             quota: extensions
                 .quota_margin
-                .map_or_else(Quota::default, Quota::without_waiting),
+                .map_or_else(QuotaLimiter::default, QuotaLimiter::without_queue),
             heartbeats: AtomicU64::new(0),
             dispatcher,
             extensions,
@@ -208,7 +208,7 @@
     tokio::spawn(membership::accept(Arc::clone(&router), listener));
     tokio::spawn(session::run(Arc::clone(&router)));
     if router.extensions.uses_passive_health_checks {
-        tokio::spawn(Arc::clone(&router.dispatcher.roster).probe());
+        tokio::spawn(Arc::clone(&router.dispatcher.engine_tracker).probe_suspects());
         tokio::spawn(load_gossip::run(Arc::clone(&router)));
     }
     let ingress = ingress::serve(Arc::clone(&router)).await?;
@@ -268,7 +268,7 @@
                 "neighbours": membership::neighbours(router),
                 "cached": router.cache_tiers.sizes().0,
                 "cached_share": router.cache_tiers.sizes().1,
-                "engines": router.dispatcher.roster.value(view.program.set_points.target_utilization),
+                "engines": router.dispatcher.engine_tracker.to_json(view.program.set_points.target_utilization),
             });
             web::json(if is_well { 200 } else { 503 }, &value)
         }
--- a/router/src/load_gossip.rs
+++ b/router/src/load_gossip.rs
@@ -91,7 +91,10 @@
             .map(|kept| (kept.engine, kept.chain))
             .collect(),
     };
-    router.dispatcher.roster.told(from, &news);
+    router
+        .dispatcher
+        .engine_tracker
+        .apply_load_update(from, &news);
     let is_far = {
         let membership = router.membership.read();
         let region = membership
@@ -111,11 +114,17 @@
     let mut told_far = transport::now();
     loop {
         let again = Duration::from_millis(AGAIN_MS);
-        drop(tokio::time::timeout(again, router.dispatcher.roster.news.notified()).await);
+        drop(
+            tokio::time::timeout(
+                again,
+                router.dispatcher.engine_tracker.load_changed.notified(),
+            )
+            .await,
+        );
         let neighbours = near(&router);
         let batch = BATCH_MS * (neighbours.len() as u64 + 1);
         tokio::time::sleep(Duration::from_millis(batch)).await;
-        let news = router.dispatcher.roster.take_news();
+        let news = router.dispatcher.engine_tracker.take_load_update();
         if !news.is_empty() {
             tell(
                 &router,
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -186,7 +186,7 @@
             }
         }
     });
-    let _reading = dispatch::roster::Aborting(reading.abort_handle());
+    let _reading = transport::AbortOnDrop(reading.abort_handle());
     let mut beat = tokio::time::interval(Duration::from_millis(boot.heartbeat_interval_ms));
     beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut lease_valid = now();
@@ -208,7 +208,7 @@
                     age_ms: 0,
                     is_leaving: router.is_draining.load(Ordering::Relaxed).into(),
                 };
-                let demand = router.quota.demands(&boot.name, number);
+                let demand = router.quota.lease_demands(&boot.name, number);
                 let frame = Frame::Beat { front, demand };
                 tokio::time::timeout(link::PATIENCE, link::send(&mut writer, &frame)).await??;
             }
@@ -223,7 +223,7 @@
                     if let Some(until) = replica_view.renew_lease(*number, *epoch) {
                         lease_valid = now();
                         router.lease.store(replica_view.lease_expires_at(), Ordering::Relaxed);
-                        router.quota.take(*number, until, shares);
+                        router.quota.apply_shares(*number, until, shares);
                     }
                     continue;
                 }
--- a/testbed/src/caller.rs
+++ b/testbed/src/caller.rs
@@ -58,7 +58,7 @@
     let (mut sender, connection) =
         hyper::client::conn::http1::handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await?;
     let driver = tokio::spawn(connection);
-    let _driver = dispatch::roster::Aborting(driver.abort_handle());
+    let _driver = transport::AbortOnDrop(driver.abort_handle());
     let mut request = hyper::Request::builder()
         .method(call.method.as_str())
         .uri(&call.target)
--- a/testbed/src/engine.rs
+++ b/testbed/src/engine.rs
@@ -7,7 +7,7 @@
 
 use crate::journal::Journal;
 use bytes::Bytes;
-use dispatch::Piped;
+use dispatch::ChannelBody;
 use dropshot::Body;
 use http_body_util::BodyExt;
 use parking_lot::Mutex;
@@ -104,7 +104,7 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     });
-    hyper::Response::new(Body::wrap(Piped(receiver)))
+    hyper::Response::new(Body::wrap(ChannelBody(receiver)))
 }
 
 /// Counts a job while it waits or runs, however it ends.
@@ -139,7 +139,7 @@
             note("declined", 0);
             return hyper::Response::builder()
                 .status(503)
-                .header(dispatch::ENGINE_OUTCOME, "not-run")
+                .header(dispatch::ENGINE_OUTCOME_HEADER, "not-run")
                 .body(Body::empty())
                 .expect("fixed headers make an answer");
         }
@@ -179,7 +179,7 @@
         .header("content-type", "application/x-ndjson")
         .header("x-engine", settings_name)
         .header("x-prefix", if is_warm { "warm" } else { "cold" })
-        .body(Body::wrap(Piped(receiver)))
+        .body(Body::wrap(ChannelBody(receiver)))
         .expect("fixed headers make an answer")
 }
 
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -4,7 +4,7 @@
 //! alone.
 
 use anyhow::{bail, ensure};
-use dispatch::quota::Quota;
+use dispatch::quota::QuotaLimiter;
 use nix::time::{clock_gettime, ClockId};
 use parking_lot::Mutex;
 use placement::{Margin, ReplicaView, RouterMembership};
@@ -62,7 +62,7 @@
     source: SocketAddr,
     place: (String, String),
     following: ReplicaView,
-    quota: Quota,
+    quota: QuotaLimiter,
     beats: u64,
     /// Each epoch that came into force here, with when.
     epochs: Vec<(u64, f64)>,
@@ -83,7 +83,7 @@
             source: SocketAddr::from((address(settings.octet, number), 7362)),
             place: settings.places[number % settings.places.len()].clone(),
             following: ReplicaView::default(),
-            quota: Quota::without_waiting(settings.margin),
+            quota: QuotaLimiter::without_queue(settings.margin),
             beats: 0,
             epochs: Vec::new(),
             company: RouterMembership::default(),
@@ -146,7 +146,7 @@
                 if let Some(until) = self.following.renew_lease(number, epoch) {
                     self.lease_valid = clock();
                     self.leases += 1;
-                    self.quota.take(number, until, &shares);
+                    self.quota.apply_shares(number, until, &shares);
                 }
             }
             Frame::Picture { epoch, events } => {
@@ -244,7 +244,7 @@
                 hollow.beats += 1;
                 let number = hollow.beats;
                 hollow.following.record_heartbeat(now(), number);
-                let demand = hollow.quota.demands(&name, number);
+                let demand = hollow.quota.lease_demands(&name, number);
                 Frame::Beat {
                     front: hollow.front(),
                     demand,
--- a/testbed/tests/gate.rs
+++ b/testbed/tests/gate.rs
@@ -2,8 +2,8 @@
 //! any two looks must keep the job's bytes back.
 
 use bytes::Bytes;
-use dispatch::roster::{Elected, Roster};
-use dispatch::{Carried, Dispatcher, Parts};
+use dispatch::engine_tracker::{EngineTracker, Selection};
+use dispatch::{Dispatcher, RequestBody, RequestParts};
 use parking_lot::Mutex;
 use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
 use residency::{Cell, Engine, EngineState, Mapping, Name, TenantKey, View, Zone};
@@ -174,31 +174,31 @@
             let (views, view_out) = watch::channel(Arc::new(view(address)));
             let views = Arc::new(views);
             let source: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-            let roster = Roster::new(source, Box::new(Vec::new));
-            tokio::spawn(Arc::clone(&roster).run(view_out.clone()));
+            let engine_tracker = EngineTracker::by_health(source, Box::new(Vec::new));
+            tokio::spawn(Arc::clone(&engine_tracker).run(view_out.clone()));
             let looks = Arc::new(AtomicUsize::new(0));
             let (looked, changing) = (Arc::clone(&looks), Arc::clone(&views));
             let dispatcher = Dispatcher {
                 source,
-                room_wait: 0,
-                roster: Arc::clone(&roster),
+                slot_wait_ms: 0,
+                engine_tracker: Arc::clone(&engine_tracker),
                 view: view_out,
                 metrics: Default::default(),
-                budget: Box::new(|_| false),
+                retry_budget: Box::new(|_| false),
                 // Asked last in each look: what it changes is seen by the next.
-                leave: Arc::new(move |_| {
+                permit: Arc::new(move |_| {
                     if looked.fetch_add(1, Ordering::SeqCst) + 1 == at {
                         change(&changing, address);
                     }
                     Ok::<(), Refusal>(())
                 }),
-                carriage: Default::default(),
-                lanes: Default::default(),
+                options: Default::default(),
+                connections: Default::default(),
             };
             let mapping = mapping();
             let patience = std::time::Duration::from_secs(30);
             testbed::fleet::wait(patience, "vitals", async || {
-                let value = roster.value(0.8).encode();
+                let value = engine_tracker.to_json(0.8).encode();
                 anyhow::ensure!(value.contains("\"running\":0"), "{value}");
                 Ok(())
             })
@@ -211,7 +211,7 @@
             ] {
                 job.apply(event).expect("the way there is allowed");
             }
-            let parts = Parts {
+            let parts = RequestParts {
                 id: "j-1".into(),
                 method: http::Method::POST,
                 target: "/app/write".into(),
@@ -222,7 +222,7 @@
                 urgency: None,
                 aim_ms: 0,
             };
-            let mut carried = Carried::new(Bytes::from_static(b"{\"prompt\":\"x\"}"), None);
+            let mut carried = RequestBody::new(Bytes::from_static(b"{\"prompt\":\"x\"}"), None);
             let answer = dispatcher
                 .dispatch(&mut job, &parts, &mut carried, &mapping, 7)
                 .await;
@@ -256,10 +256,10 @@
     let (address, _kept) = engine(COLD).await;
     let (views, view_out) = watch::channel(Arc::new(view(address)));
     let source: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    let alone = Roster::new(source, Box::new(|| vec![1]));
-    let nobody = Roster::new(source, Box::new(Vec::new));
-    for roster in [&alone, &nobody] {
-        tokio::spawn(Arc::clone(roster).run(view_out.clone()));
+    let alone = EngineTracker::by_health(source, Box::new(|| vec![1]));
+    let nobody = EngineTracker::by_health(source, Box::new(Vec::new));
+    for engine_tracker in [&alone, &nobody] {
+        tokio::spawn(Arc::clone(engine_tracker).run(view_out.clone()));
     }
     let patience = std::time::Duration::from_secs(30);
     testbed::fleet::wait(patience, "a place", async || {
@@ -270,10 +270,13 @@
             prefix: 7,
             avoid: &[],
         };
-        let is_refused = !matches!(nobody.elect(&view, &mapping(), &wanted), Elected::Engine(_));
+        let is_refused = !matches!(
+            nobody.select_engine(&view, &mapping(), &wanted),
+            Selection::Engine(_)
+        );
         assert!(is_refused, "a process that has no place began work");
-        let elected = alone.elect(&view, &mapping(), &wanted);
-        anyhow::ensure!(matches!(elected, Elected::Engine(_)), "none yet");
+        let elected = alone.select_engine(&view, &mapping(), &wanted);
+        anyhow::ensure!(matches!(elected, Selection::Engine(_)), "none yet");
         Ok(())
     })
     .await
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -338,12 +338,12 @@
         let door = settings.ingress_address;
         tokio::spawn(async move {
             // No engine stands here, so that none is waited for.
-            let carriage = dispatch::Carriage {
-                sight_wait: 0,
+            let options = dispatch::DispatchOptions {
+                discovery_wait_ms: 0,
                 ..Default::default()
             };
             let extensions = router::Extensions {
-                carriage,
+                dispatch: options,
                 ..Default::default()
             };
             router::run(settings, extensions).await.expect("it runs");
--- a/transport/src/lib.rs
+++ b/transport/src/lib.rs
@@ -39,3 +39,12 @@
 pub fn jitter(ms: u64) -> std::time::Duration {
     std::time::Duration::from_millis(ms + rand::random_range(0..=ms / 4))
 }
+
+/// Aborts a task when dropped.
+pub struct AbortOnDrop(pub tokio::task::AbortHandle);
+
+impl Drop for AbortOnDrop {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
