--- a/protocol/tests/formats/frames.rs
+++ b/protocol/tests/formats/frames.rs
@@ -12,11 +12,11 @@
     TenantLimits, Zone,
 };
 
-fn name(text: &str) -> Name {
+pub fn name(text: &str) -> Name {
     Name(text.into())
 }
 
-fn key(digest: &str, tenant: &str) -> TenantKey {
+pub fn key(digest: &str, tenant: &str) -> TenantKey {
     TenantKey {
         digest: digest.into(),
         tenant: tenant.into(),
@@ -42,7 +42,7 @@
     }
 }
 
-fn engine() -> Engine {
+pub fn engine() -> Engine {
     Engine {
         name: "i-1".into(),
         address: "10.0.0.9:8080".into(),
@@ -93,6 +93,14 @@
         Command::RemoveKey(name("digest")),
         Command::AddEngine(engine()),
         Command::RemoveEngine(name("i-1")),
+        Command::SetEngineState {
+            name: name("i-1"),
+            state: EngineState::Coming,
+        },
+        Command::SetEngineState {
+            name: name("i-1"),
+            state: EngineState::Serving,
+        },
         Command::SetEngineState {
             name: name("i-1"),
             state: EngineState::Draining,
@@ -196,12 +204,19 @@
             last_log_term: 2,
         },
         MessageBody::PreVoteResponse { granted: true },
+        MessageBody::PreVoteResponse { granted: false },
         MessageBody::RequestVote {
             last_log_index: 5,
             last_log_term: 2,
             is_transfer: false,
         },
+        MessageBody::RequestVote {
+            last_log_index: 5,
+            last_log_term: 2,
+            is_transfer: true,
+        },
         MessageBody::RequestVoteResponse { granted: false },
+        MessageBody::RequestVoteResponse { granted: true },
         MessageBody::AppendEntries {
             prev_log_index: 0,
             prev_log_term: 0,
@@ -209,11 +224,23 @@
             round: 8,
             entries,
         },
+        MessageBody::AppendEntries {
+            prev_log_index: 3,
+            prev_log_term: 3,
+            leader_commit: 2,
+            round: 9,
+            entries: vec![],
+        },
         MessageBody::AppendEntriesResponse {
             is_match: true,
             match_index: 3,
             round: 8,
         },
+        MessageBody::AppendEntriesResponse {
+            is_match: false,
+            match_index: 2,
+            round: 8,
+        },
         MessageBody::InstallSnapshot { round: 9, snapshot },
         MessageBody::TimeoutNow,
     ]
@@ -232,6 +259,14 @@
     }
 }
 
+fn share() -> Share {
+    Share {
+        tenant: "ana".into(),
+        limit: 9,
+        queue_ms: 3,
+    }
+}
+
 fn demand() -> FrontDemand {
     let demand = Demand {
         tenant: "ana".into(),
@@ -251,31 +286,105 @@
     }
 }
 
-/// One frame of each kind at least.
-pub fn frames() -> Vec<Frame> {
-    let share = Share {
-        tenant: "ana".into(),
-        limit: 9,
-        queue_ms: 3,
+/// What each end says first on a connection, and how one is refused.
+pub fn handshake() -> Vec<Frame> {
+    let kinds = [Kind::Directory, Kind::Router, Kind::Job, Kind::Neighbour];
+    let hello = |kind| Frame::Hello {
+        epoch: EPOCH,
+        kind,
+        name: "edge-1".into(),
+    };
+    let mut frames: Vec<Frame> = kinds.into_iter().map(hello).collect();
+    frames.push(Frame::Refused {
+        text: "another epoch".into(),
+    });
+    frames
+}
+
+fn requests() -> Vec<PeerRequest> {
+    let submit = |command| {
+        PeerRequest::Submit(Proposal {
+            id: "s-1".into(),
+            base_epoch: 4,
+            command,
+        })
     };
+    commands()
+        .into_iter()
+        .map(submit)
+        .chain([
+            submit(Command::UpdateTopology {
+                mode: residency::UpdateMode::Replace,
+                text: "{}".into(),
+            }),
+            PeerRequest::Confirm {
+                demands: vec![demand()],
+            },
+            PeerRequest::Confirm { demands: vec![] },
+            PeerRequest::Admit(member(9)),
+            PeerRequest::Retire { identity: 9 },
+            PeerRequest::Leave { identity: 9 },
+        ])
+        .collect()
+}
+
+fn responses() -> Vec<PeerResponse> {
     let shares = FrontShares {
         front: "edge-1".into(),
         number: 4,
-        shares: vec![share.clone(), share.clone()],
+        shares: vec![share(), share()],
     };
-    let header = Header {
-        name: "x-model".into(),
-        value: b"writer".to_vec(),
+    let outcomes = [
+        Outcome::Applied { epoch: 9 },
+        Outcome::Duplicate { epoch: 9 },
+        Outcome::Conflict { epoch: 9 },
+        Outcome::Rejected("no".into()),
+    ];
+    outcomes
+        .into_iter()
+        .map(PeerResponse::Submitted)
+        .chain([
+            PeerResponse::Confirmed {
+                index: 9,
+                shares: vec![shares],
+            },
+            PeerResponse::Changed,
+            PeerResponse::NotLeader,
+            PeerResponse::Busy,
+            PeerResponse::Unfit(name("why")),
+            PeerResponse::Lost,
+        ])
+        .collect()
+}
+
+/// Directory node to directory node.
+pub fn peers() -> Vec<Frame> {
+    let consensus = |body| {
+        Frame::Consensus(Message {
+            from: 1,
+            to: 2,
+            cluster: 77,
+            term: 3,
+            body,
+        })
     };
-    let mut frames = vec![
-        Frame::Hello {
-            epoch: EPOCH,
-            kind: Kind::Router,
-            name: "edge-1".into(),
-        },
-        Frame::Refused {
-            text: "another epoch".into(),
-        },
+    let validity = Validity {
+        term: 3,
+        deadline_ms: 1_234,
+    };
+    let mut frames: Vec<Frame> = bodies().into_iter().map(consensus).collect();
+    frames.extend(requests().into_iter().map(|question| Frame::Ask {
+        from: 1,
+        number: 2,
+        validity,
+        question,
+    }));
+    frames.extend(responses().into_iter().map(|reply| Frame::PeerResponse {
+        number: 2,
+        clock_ms: 3,
+        reply,
+    }));
+    frames.extend([
         Frame::Fronts {
             from: 1,
             fronts: vec![front(), front()],
@@ -285,7 +394,22 @@
             admitted: true,
             text: "in".into(),
         },
+        Frame::Joined {
+            admitted: false,
+            text: "out".into(),
+        },
         Frame::Introduce(member(9)),
+    ]);
+    frames
+}
+
+/// A router's session with a directory node, with what it looks up there.
+pub fn router_session() -> Vec<Frame> {
+    let none = Answer::None {
+        code: name("no-place"),
+        text: name("nowhere"),
+    };
+    let mut frames = vec![
         Frame::Beat {
             front: front(),
             demand: demand(),
@@ -293,7 +417,7 @@
         Frame::Lease {
             number: 4,
             epoch: 9,
-            shares: vec![share],
+            shares: vec![share()],
         },
         Frame::Picture {
             epoch: 9,
@@ -316,6 +440,26 @@
             service: "writer".into(),
             region: "north".into(),
         },
+    ];
+    let answers = [Answer::Mapping(mapping()), none, Answer::Later];
+    frames.extend(answers.map(|answer| Frame::Resolved { number: 2, answer }));
+    frames
+}
+
+/// One request on its way through a directory node.
+pub fn forwarding() -> Vec<Frame> {
+    let header = Header {
+        name: "x-model".into(),
+        value: b"writer".to_vec(),
+    };
+    let declined = |not_run| Frame::Declined {
+        status: 503,
+        code: "engines-full".into(),
+        text: "full".into(),
+        not_run,
+        retry_after_ms: 50,
+    };
+    vec![
         Frame::Job(JobHead {
             id: "j-1".into(),
             method: "POST".into(),
@@ -337,13 +481,14 @@
         },
         Frame::AnswerBody(vec![1; 40]),
         Frame::AnswerEnd,
-        Frame::Declined {
-            status: 503,
-            code: "engines-full".into(),
-            text: "full".into(),
-            not_run: true,
-            retry_after_ms: 50,
-        },
+        declined(true),
+        declined(false),
+    ]
+}
+
+/// Routers among themselves.
+pub fn cache_sharing() -> Vec<Frame> {
+    vec![
         Frame::Look {
             number: 1,
             key: "ana/writer".into(),
@@ -353,6 +498,10 @@
             number: 1,
             mapping: vec![mapping()],
         },
+        Frame::Seen {
+            number: 1,
+            mapping: vec![],
+        },
         Frame::Keep(mapping()),
         Frame::Tidings {
             from: "edge-1".into(),
@@ -367,70 +516,19 @@
                 chain: 77,
             }],
         },
-    ];
-    frames.extend(bodies().into_iter().map(|body| {
-        Frame::Consensus(Message {
-            from: 1,
-            to: 2,
-            cluster: 77,
-            term: 3,
-            body,
-        })
-    }));
-    let submit = |command| {
-        PeerRequest::Submit(Proposal {
-            id: "s-1".into(),
-            base_epoch: 4,
-            command,
-        })
-    };
-    let questions = commands().into_iter().map(submit).chain([
-        PeerRequest::Confirm {
-            demands: vec![demand()],
-        },
-        PeerRequest::Admit(member(9)),
-        PeerRequest::Retire { identity: 9 },
-        PeerRequest::Leave { identity: 9 },
-    ]);
-    let validity = Validity {
-        term: 3,
-        deadline_ms: 1_234,
-    };
-    frames.extend(questions.map(|question| Frame::Ask {
-        from: 1,
-        number: 2,
-        validity,
-        question,
-    }));
-    let outcomes = [
-        Outcome::Applied { epoch: 9 },
-        Outcome::Duplicate { epoch: 9 },
-        Outcome::Conflict { epoch: 9 },
-        Outcome::Rejected("no".into()),
-    ];
-    let replies = outcomes.into_iter().map(PeerResponse::Submitted).chain([
-        PeerResponse::Confirmed {
-            index: 9,
-            shares: vec![shares],
-        },
-        PeerResponse::Changed,
-        PeerResponse::NotLeader,
-        PeerResponse::Busy,
-        PeerResponse::Unfit(name("why")),
-        PeerResponse::Lost,
-    ]);
-    frames.extend(replies.map(|reply| Frame::PeerResponse {
-        number: 2,
-        clock_ms: 3,
-        reply,
-    }));
-    let none = Answer::None {
-        code: name("no-place"),
-        text: name("nowhere"),
-    };
-    let answers = [Answer::Mapping(mapping()), none, Answer::Later];
-    frames.extend(answers.map(|answer| Frame::Resolved { number: 2, answer }));
-    frames
+    ]
+}
+
+/// One frame of each kind at least.
+pub fn frames() -> Vec<Frame> {
+    [
+        handshake(),
+        peers(),
+        router_session(),
+        forwarding(),
+        cache_sharing(),
+    ]
+    .concat()
 }
 
 /// Reads bytes as a frame. What reads is the same frame again when it was written;
--- a/protocol/tests/formats/main.rs
+++ b/protocol/tests/formats/main.rs
@@ -5,4 +5,5 @@
 mod frames;
 mod log;
 mod memory;
+mod recorded;
 mod state;
--- a/protocol/tests/formats/state.rs
+++ b/protocol/tests/formats/state.rs
@@ -8,7 +8,7 @@
 use proptest::sample::Index;
 use residency::{Proposal, State, Topology, View};
 
-const TOPOLOGY: &str = r#"{
+pub const TOPOLOGY: &str = r#"{
     "zones": { "north-a": { "region": "north" }, "south-a": { "region": "south" } },
     "cells": { "north-1": { "zone": "north-a" }, "south-1": { "zone": "south-a" } },
     "services": { "writer": {}, "pictures": {} },
