--- a/directory/src/driver/thread/mod.rs
+++ b/directory/src/driver/thread/mod.rs
@@ -14,7 +14,7 @@
 use consensus::wal::{DiskStorage, WriteAheadLog};
 use consensus::{EntryPayload, Member, NodeId, Term};
 use parking_lot::RwLock;
-use placement::{Margin, Paces, Pools};
+use placement::{QuotaLeaseAllocator, QuotaTolerance, TokenAllocator};
 use protocol::{Frame, FrontShares, PeerResponse};
 use residency::{Event, Proposal, State, View};
 use status::describe;
@@ -38,15 +38,15 @@
 
 /// How the leader hands out tenants' quotas.
 enum QuotaGrants {
-    Paces(Paces),
-    Pools(Pools),
+    Tokens(TokenAllocator),
+    Leases(QuotaLeaseAllocator),
 }
 
 impl QuotaGrants {
-    fn new(margin: Option<Margin>) -> QuotaGrants {
+    fn new(margin: Option<QuotaTolerance>) -> QuotaGrants {
         match margin {
-            None => QuotaGrants::Paces(Paces::new(now())),
-            Some(margin) => QuotaGrants::Pools(Pools::new(now(), margin)),
+            None => QuotaGrants::Tokens(TokenAllocator::new(now())),
+            Some(margin) => QuotaGrants::Leases(QuotaLeaseAllocator::new(now(), margin)),
         }
     }
 }
@@ -100,7 +100,7 @@
     grants: QuotaGrants,
     /// The term that `grants` belongs to: another leader lends anew.
     grants_term: Term,
-    quota_margin: Option<Margin>,
+    quota_margin: Option<QuotaTolerance>,
     /// Routers that are known to this node.
     routers: Arc<AtomicUsize>,
     pause_detector: Arc<PauseDetector>,
@@ -115,7 +115,7 @@
     timing: Timing,
     snapshot_every: u64,
     min_voters: usize,
-    quota_margin: Option<Margin>,
+    quota_margin: Option<QuotaTolerance>,
     segments: WriteAheadLog<DiskStorage>,
     kept: PersistedState,
     peers: Arc<PeerConnections>,
--- a/directory/src/driver/thread/requests.rs
+++ b/directory/src/driver/thread/requests.rs
@@ -142,8 +142,8 @@
             .load(Ordering::Relaxed)
             .max(state.view.router_count as usize);
         let answer = |demand| match &mut self.grants {
-            QuotaGrants::Paces(paces) => paces.answer(now(), demand, terms),
-            QuotaGrants::Pools(pools) => pools.answer(now(), demand, routers, terms),
+            QuotaGrants::Tokens(allocator) => allocator.allocate(now(), demand, terms),
+            QuotaGrants::Leases(allocator) => allocator.allocate(now(), demand, routers, terms),
         };
         demands.iter().map(answer).collect()
     }
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -72,7 +72,7 @@
     pub leave_timeout: Duration,
     /// How far past its quota a tenant may get over all routers, where no job is to
     /// wait for the leader's word.
-    pub quota_margin: Option<placement::Margin>,
+    pub quota_margin: Option<placement::QuotaTolerance>,
     pub runtime: RuntimeFlavor,
 }
 
--- a/dispatch/src/quota.rs
+++ b/dispatch/src/quota.rs
@@ -2,7 +2,7 @@
 //! word around `placement`'s meters, or its taps, by which nobody waits.
 
 use parking_lot::Mutex;
-use placement::{Margin, Meters, Place, Taps};
+use placement::{AdmissionDecision, LeaseRateLimiter, QueueingRateLimiter, QuotaTolerance};
 use protocol::{FrontDemand, Share};
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -12,8 +12,8 @@
 /// Whose word a process admits by: asked for each job where it lies nowhere yet,
 /// or lying here before the job comes.
 enum Means {
-    Meters(Mutex<Meters>),
-    Taps(Mutex<Taps>),
+    Queueing(Mutex<QueueingRateLimiter>),
+    Leased(Mutex<LeaseRateLimiter>),
 }
 
 pub struct QuotaLimiter {
@@ -25,7 +25,7 @@
 
 impl Default for QuotaLimiter {
     fn default() -> QuotaLimiter {
-        let means = Means::Meters(Mutex::new(Meters::new(now(), rand::random())));
+        let means = Means::Queueing(Mutex::new(QueueingRateLimiter::new(now(), rand::random())));
         QuotaLimiter {
             means,
             urgent: Notify::new(),
@@ -36,7 +36,7 @@
 
 /// A job in a tenant's queue, out of it however its waiting ends.
 struct Waiting<'q> {
-    meters: &'q Mutex<Meters>,
+    meters: &'q Mutex<QueueingRateLimiter>,
     tenant: &'q str,
     ticket: Option<u64>,
 }
@@ -44,15 +44,19 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if let Some(ticket) = self.ticket {
-            self.meters.lock().leave(self.tenant, ticket);
+            self.meters.lock().cancel(self.tenant, ticket);
         }
     }
 }
 
 impl QuotaLimiter {
     /// One under which no job waits; the margin is the fleet's.
-    pub fn without_queue(margin: Margin) -> QuotaLimiter {
-        let means = Means::Taps(Mutex::new(Taps::new(now(), rand::random(), margin)));
+    pub fn without_queue(margin: QuotaTolerance) -> QuotaLimiter {
+        let means = Means::Leased(Mutex::new(LeaseRateLimiter::new(
+            now(),
+            rand::random(),
+            margin,
+        )));
         QuotaLimiter {
             means,
             urgent: Notify::new(),
@@ -62,23 +66,23 @@
 
     pub fn lease_demands(&self, front: &str, number: u64) -> FrontDemand {
         match &self.means {
-            Means::Meters(meters) => meters.lock().demands(now(), front, number),
-            Means::Taps(taps) => taps.lock().demands(now(), front, number),
+            Means::Queueing(meters) => meters.lock().demand(now(), front, number),
+            Means::Leased(taps) => taps.lock().demand(now(), front, number),
         }
     }
 
     pub fn apply_shares(&self, number: u64, until: u64, shares: &[Share]) {
         match &self.means {
-            Means::Meters(meters) => meters.lock().take(now(), number, until, shares),
-            Means::Taps(taps) => taps.lock().take(now(), number, until, shares),
+            Means::Queueing(meters) => meters.lock().apply_shares(now(), number, until, shares),
+            Means::Leased(taps) => taps.lock().apply_shares(now(), number, until, shares),
         }
         self.told.notify_waiters();
     }
 
     pub fn has_waiters(&self) -> bool {
         match &self.means {
-            Means::Meters(meters) => meters.lock().is_waited_for(),
-            Means::Taps(_) => false,
+            Means::Queueing(meters) => meters.lock().has_queued_requests(),
+            Means::Leased(_) => false,
         }
     }
 
@@ -100,8 +104,8 @@
             Refusal::not_run(429, "quota", text)
         };
         let meters = match &self.means {
-            Means::Meters(meters) => meters,
-            Means::Taps(taps) => {
+            Means::Queueing(meters) => meters,
+            Means::Leased(taps) => {
                 return match taps.lock().admit(now(), tenant, pace, burst, routers) {
                     true => Ok(()),
                     false => Err(past()),
@@ -123,10 +127,10 @@
                 .lock()
                 .admit(now(), tenant, came, waiting.ticket, patience);
             match place {
-                Place::Admitted => return Ok(()),
-                Place::Queued(ticket) => waiting.ticket = Some(ticket),
-                Place::Refused => return Err(past()),
-                Place::Unheard => {
+                AdmissionDecision::Admitted => return Ok(()),
+                AdmissionDecision::Queued(ticket) => waiting.ticket = Some(ticket),
+                AdmissionDecision::OverQuota => return Err(past()),
+                AdmissionDecision::NoLeader => {
                     let text = "no directory node speaks for this tenant's pace now";
                     return Err(Refusal::not_run(503, "no-leader", text));
                 }
--- a/placement/src/allowance.rs
+++ b/placement/src/allowance.rs
@@ -9,7 +9,7 @@
 pub struct RetryLimit {
     pub ratio: f64,
     pub window_ms: u64,
-    pub extra: f64,
+    pub extra_retries: f64,
 }
 
 /// What is left unused of the bound: routers come and go, and what one spent before
@@ -78,7 +78,7 @@
         let RetryLimit {
             ratio,
             window_ms,
-            extra,
+            extra_retries,
         } = self.bound;
         // The jobs of the youngest half alone: a window that begins later than
         // this one may hold no more.
@@ -90,7 +90,7 @@
         let extra = if sharers == 0 {
             0.0
         } else {
-            extra / sharers as f64
+            extra_retries / sharers as f64
         };
         let most = USED * (ratio * f64::from(jobs) + extra);
         if f64::from(sum(&mut counts.rounds, now, window_ms) + 1) > most {
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -21,8 +21,10 @@
 pub use elect::{elect, rank, Candidate};
 pub use engines::{may_have, Chosen, Engines, GONE_MS, SILENCE_MS};
 pub use estimates::{Estimates, News, Wanted};
-pub use paces::{Meters, Paces, Place};
-pub use pools::{Margin, Pools, Taps, HOLD_MS, OPENING};
+pub use paces::{AdmissionDecision, QueueingRateLimiter, TokenAllocator};
+pub use pools::{
+    LeaseRateLimiter, QuotaLeaseAllocator, QuotaTolerance, QUOTA_LEASE_MS, STARTUP_RESERVE_RATIO,
+};
 pub use replica_view::{ReplicaUpdate, ReplicaView};
 pub use request_state::{
     ExecutionOutcome, InvalidTransition, RequestEvent, RequestState, RequestStateMachine,
--- a/placement/src/paces.rs
+++ b/placement/src/paces.rs
@@ -72,20 +72,20 @@
 
 /// What came of asking for a job's place.
 #[derive(Debug, PartialEq)]
-pub enum Place {
+pub enum AdmissionDecision {
     Admitted,
     /// In the queue, by this number; `admit` is asked again with it.
     Queued(u64),
     /// Its tenant is past its pace.
-    Refused,
+    OverQuota,
     /// No leader has said anything for too long.
-    Unheard,
+    NoLeader,
 }
 
 /// The tenants' meters at one admitting process. Invariants: `life` is another
 /// one for each start of a process; no meter is ever dropped, since its counts
 /// go on.
-pub struct Meters {
+pub struct QueueingRateLimiter {
     life: u64,
     meters: BTreeMap<String, Meter>,
     /// Beats that were sent lately: number, when.
@@ -98,10 +98,10 @@
     awake: u64,
 }
 
-impl Meters {
-    pub fn new(now: u64, life: u64) -> Meters {
+impl QueueingRateLimiter {
+    pub fn new(now: u64, life: u64) -> QueueingRateLimiter {
         let (meters, beats) = (BTreeMap::new(), VecDeque::new());
-        Meters {
+        QueueingRateLimiter {
             life,
             meters,
             beats,
@@ -120,7 +120,7 @@
         came: u64,
         ticket: Option<u64>,
         patience: u64,
-    ) -> Place {
+    ) -> AdmissionDecision {
         self.wake(now);
         let meter = self.meters.entry(tenant.to_string()).or_default();
         let free = if now < meter.until {
@@ -139,7 +139,7 @@
         if before < free {
             meter.count(now);
             ticket.map(|ticket| meter.queue.remove(&ticket));
-            return Place::Admitted;
+            return AdmissionDecision::Admitted;
         }
         let word = meter.word.filter(|(at, ..)| now < at + WORD_MS);
         let is_heard = word.is_some();
@@ -157,12 +157,12 @@
         if is_over {
             ticket.map(|ticket| meter.queue.remove(&ticket));
             return if is_heard {
-                Place::Refused
+                AdmissionDecision::OverQuota
             } else {
-                Place::Unheard
+                AdmissionDecision::NoLeader
             };
         }
-        Place::Queued(ticket.unwrap_or_else(|| {
+        AdmissionDecision::Queued(ticket.unwrap_or_else(|| {
             meter.next += 1;
             meter.queue.insert(meter.next);
             meter.next
@@ -178,18 +178,18 @@
     }
 
     /// A job left the queue by itself.
-    pub fn leave(&mut self, tenant: &str, ticket: u64) {
+    pub fn cancel(&mut self, tenant: &str, ticket: u64) {
         if let Some(meter) = self.meters.get_mut(tenant) {
             meter.queue.remove(&ticket);
         }
     }
 
-    pub fn is_waited_for(&self) -> bool {
+    pub fn has_queued_requests(&self) -> bool {
         self.meters.values().any(|meter| !meter.queue.is_empty())
     }
 
     /// What to say of all tenants with the beat of this number.
-    pub fn demands(&mut self, now: u64, front: &str, number: u64) -> FrontDemand {
+    pub fn demand(&mut self, now: u64, front: &str, number: u64) -> FrontDemand {
         self.wake(now);
         let elapsed = now.saturating_sub(self.beaten).clamp(20, 1_000) as f64;
         self.beaten = now;
@@ -245,7 +245,7 @@
 
     /// Takes the leader's answer to the beat of this number; what it allows
     /// lapses at `until`.
-    pub fn take(&mut self, now: u64, number: u64, until: u64, shares: &[Share]) {
+    pub fn apply_shares(&mut self, now: u64, number: u64, until: u64, shares: &[Share]) {
         self.asked = None;
         for share in shares {
             let Some(meter) = self.meters.get_mut(&share.tenant) else {
@@ -310,7 +310,7 @@
 
 /// The tenants' paces at the leader. A new one does not know what its
 /// predecessor gave, and works out each bucket from what was admitted lately.
-pub struct Paces {
+pub struct TokenAllocator {
     pots: BTreeMap<String, Pot>,
     since: u64,
 }
@@ -319,17 +319,17 @@
 /// have something open, and it gives only half of what it could.
 const HEARING_MS: u64 = LEASE_MS;
 
-impl Paces {
+impl TokenAllocator {
     /// Of a leader that begins now.
-    pub fn new(now: u64) -> Paces {
-        Paces {
+    pub fn new(now: u64) -> TokenAllocator {
+        TokenAllocator {
             pots: BTreeMap::new(),
             since: now,
         }
     }
 
     /// Answers the demands of one beat; `terms` gives a tenant's pace and burst.
-    pub fn answer(
+    pub fn allocate(
         &mut self,
         now: u64,
         from: &FrontDemand,
@@ -513,10 +513,10 @@
         seed: u64,
     ) -> Seen {
         let mut draw = crate::draws(seed);
-        let mut fleet: Vec<Meters> = (0..routers)
-            .map(|at| Meters::new(0, at as u64 + 1))
+        let mut fleet: Vec<QueueingRateLimiter> = (0..routers)
+            .map(|at| QueueingRateLimiter::new(0, at as u64 + 1))
             .collect();
-        let mut paces = Some(Paces::new(1_000));
+        let mut paces = Some(TokenAllocator::new(1_000));
         let mut beats: Vec<(u64, u64)> = (0..routers).map(|_| (1_000 + draw(350), 0)).collect();
         let mut up: Vec<(u64, usize, u64, FrontDemand)> = Vec::new();
         let mut down: Vec<(u64, usize, u64, FrontShares)> = Vec::new();
@@ -528,13 +528,13 @@
                 paces = None;
             }
             if now == 13_200 && fault == Fault::Leader {
-                paces = Some(Paces::new(now));
+                paces = Some(TokenAllocator::new(now));
             }
             let is_frozen = |router: usize| {
                 router == 0 && fault == Fault::Frozen && (12_000..15_000).contains(&now)
             };
             if now == 12_000 && fault == Fault::Router {
-                fleet[0] = Meters::new(now, 99);
+                fleet[0] = QueueingRateLimiter::new(now, 99);
                 // Its connections end with it.
                 up.retain(|(_, router, ..)| *router != 0);
                 down.retain(|(_, router, ..)| *router != 0);
@@ -546,11 +546,11 @@
                 .filter(|(at, _)| !is_frozen(*at))
             {
                 let (next, number) = &mut beats[router];
-                let is_due = now >= *next || meters.is_waited_for() && now + 300 >= *next;
+                let is_due = now >= *next || meters.has_queued_requests() && now + 300 >= *next;
                 if is_due {
                     *number += 1;
                     *next = now + 350;
-                    let demand = meters.demands(now, &format!("router-{router}"), *number);
+                    let demand = meters.demand(now, &format!("router-{router}"), *number);
                     up.push((now + 1 + draw(30), router, now, demand));
                 }
             }
@@ -565,7 +565,7 @@
                     continue;
                 };
                 said += 1;
-                let answer = paces.answer(now, &demand, |_| Some(terms));
+                let answer = paces.allocate(now, &demand, |_| Some(terms));
                 if fault == Fault::Losses && said % 5 == 0 {
                     up.push((now + 60, router, asked, demand));
                 }
@@ -577,7 +577,12 @@
             down = later;
             for (_, router, asked, answer) in come {
                 if !is_frozen(router) {
-                    fleet[router].take(now, answer.number, asked + LEASE_MS, &answer.shares);
+                    fleet[router].apply_shares(
+                        now,
+                        answer.number,
+                        asked + LEASE_MS,
+                        &answer.shares,
+                    );
                 }
             }
             queue.retain(|job| {
@@ -586,9 +591,9 @@
                 }
                 let meters = &mut fleet[job.router];
                 match meters.admit(now, "t", job.came, Some(job.ticket), PATIENCE) {
-                    Place::Admitted => seen.admitted.push(now),
-                    Place::Queued(_) => return true,
-                    Place::Refused | Place::Unheard => seen.refused += 1,
+                    AdmissionDecision::Admitted => seen.admitted.push(now),
+                    AdmissionDecision::Queued(_) => return true,
+                    AdmissionDecision::OverQuota | AdmissionDecision::NoLeader => seen.refused += 1,
                 }
                 seen.longest_wait = seen.longest_wait.max(now - job.came);
                 false
@@ -598,13 +603,13 @@
                 let router = draw(routers as u64) as usize;
                 let router = if is_frozen(router) { 1 } else { router };
                 match fleet[router].admit(now, "t", now, None, PATIENCE) {
-                    Place::Admitted => seen.admitted.push(now),
-                    Place::Queued(ticket) => queue.push(Job {
+                    AdmissionDecision::Admitted => seen.admitted.push(now),
+                    AdmissionDecision::Queued(ticket) => queue.push(Job {
                         came: now,
                         router,
                         ticket,
                     }),
-                    Place::Refused | Place::Unheard => seen.refused += 1,
+                    AdmissionDecision::OverQuota | AdmissionDecision::NoLeader => seen.refused += 1,
                 }
             }
         }
--- a/placement/src/pools.rs
+++ b/placement/src/pools.rs
@@ -16,7 +16,7 @@
 
 /// How long a router keeps its part without a word, counted from when it asked
 /// last. The leader keeps it for that router for as long, and a window.
-pub const HOLD_MS: u64 = 60_000;
+pub const QUOTA_LEASE_MS: u64 = 60_000;
 /// A tenant that nobody asked for during this time gives back what it was lent.
 /// Invariant: longer than `LATELY_MS`, so that a tenant that a router does not
 /// speak of has admitted nothing there lately.
@@ -37,15 +37,15 @@
 /// How far past its quota a tenant may get: in any window of `window_ms`, what
 /// rate and burst allow times `overrun`, and `extra` jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Margin {
-    pub overrun: f64,
-    pub extra: f64,
+pub struct QuotaTolerance {
+    pub overrun_factor: f64,
+    pub extra_requests: f64,
     pub window_ms: u64,
 }
 
 /// What is kept for processes that began within the window, of the whole: what
 /// they did in a former life nobody may know, where all were lost at once.
-pub const OPENING: f64 = 0.25;
+pub const STARTUP_RESERVE_RATIO: f64 = 0.25;
 /// What a router may use of its part of a window within half a window, so that it
 /// is known how much of what was used before a loss can still count.
 const HALF: f64 = 0.7;
@@ -70,13 +70,14 @@
     all: u64,
 }
 
-impl Margin {
+impl QuotaTolerance {
     /// Half of it lies at the routers, as far as that is a whole job for each.
     fn depth(&self, rate: u64, burst: u64, routers: usize) -> Depth {
         let refill = (rate * self.window_ms) as f64 / 1_000.0;
-        let all = ((refill + burst as f64) * self.overrun + self.extra).max(0.0) as u64;
+        let all =
+            ((refill + burst as f64) * self.overrun_factor + self.extra_requests).max(0.0) as u64;
         let routers = routers.max(1) as u64;
-        let opening = (all as f64 * OPENING) as u64 / routers;
+        let opening = (all as f64 * STARTUP_RESERVE_RATIO) as u64 / routers;
         let whole = all;
         let all = all - opening * routers;
         let floor = all / 2 / routers;
@@ -212,22 +213,22 @@
 /// start of a process; no tap is ever dropped, since its counts go on; for a
 /// window after a start there is the opening alone, since a former life may have
 /// used the floor.
-pub struct Taps {
+pub struct LeaseRateLimiter {
     life: u64,
     began: u64,
-    margin: Margin,
+    margin: QuotaTolerance,
     taps: BTreeMap<String, Tap>,
     /// The last beat's number.
     number: u64,
-    /// The most routers known in this span of `HOLD_MS`, and in the one before:
+    /// The most routers known in this span of `QUOTA_LEASE_MS`, and in the one before:
     /// who is cut off hears of fewer, and must not take their parts.
     routers: [(u64, usize); 2],
 }
 
-impl Taps {
-    pub fn new(now: u64, life: u64, margin: Margin) -> Taps {
-        let routers = [(now / HOLD_MS, 0), (0, 0)];
-        Taps {
+impl LeaseRateLimiter {
+    pub fn new(now: u64, life: u64, margin: QuotaTolerance) -> LeaseRateLimiter {
+        let routers = [(now / QUOTA_LEASE_MS, 0), (0, 0)];
+        LeaseRateLimiter {
             life,
             began: now,
             margin,
@@ -238,7 +239,7 @@
     }
 
     fn routers(&mut self, now: u64, routers: usize) -> usize {
-        let span = now / HOLD_MS;
+        let span = now / QUOTA_LEASE_MS;
         if span > self.routers[0].0 {
             let last = if span == self.routers[0].0 + 1 {
                 self.routers[0].1
@@ -312,7 +313,7 @@
     /// What to say with the beat of this number: of the tenants that were asked
     /// for of late, and of those of which the leader may not know that they
     /// weren't.
-    pub fn demands(&mut self, now: u64, front: &str, number: u64) -> FrontDemand {
+    pub fn demand(&mut self, now: u64, front: &str, number: u64) -> FrontDemand {
         self.number = self.number.max(number);
         let taps = self.taps.iter_mut().filter(|(_, tap)| !tap.is_told);
         let demands = taps.map(|(tenant, tap)| {
@@ -350,7 +351,7 @@
     /// until `until`, `LEASE_MS` after the beat was sent. Invariant: it is an
     /// answer to a beat of this life, which a connection that ends with the process
     /// makes sure of.
-    pub fn take(&mut self, now: u64, number: u64, until: u64, shares: &[Share]) {
+    pub fn apply_shares(&mut self, now: u64, number: u64, until: u64, shares: &[Share]) {
         if now >= until {
             return;
         }
@@ -372,7 +373,7 @@
             tap.taken = number;
             tap.limit = share.limit;
             tap.part = (counted + share.limit.saturating_sub(tap.used)).saturating_sub(floor);
-            tap.until = until - LEASE_MS.min(until) + HOLD_MS;
+            tap.until = until - LEASE_MS.min(until) + QUOTA_LEASE_MS;
             tap.is_told = tap.idle.is_some_and(|idle| idle <= number);
         }
     }
@@ -468,8 +469,8 @@
 
 /// The tenants' pools at the leader. A new one knows nobody, and raises no part
 /// until it has heard from all that may have one.
-pub struct Pools {
-    margin: Margin,
+pub struct QuotaLeaseAllocator {
+    margin: QuotaTolerance,
     routers: BTreeMap<String, Router>,
     pools: BTreeMap<String, Pool>,
     since: u64,
@@ -489,11 +490,11 @@
     Full,
 }
 
-impl Pools {
+impl QuotaLeaseAllocator {
     /// Of a leader that begins now.
-    pub fn new(now: u64, margin: Margin) -> Pools {
+    pub fn new(now: u64, margin: QuotaTolerance) -> QuotaLeaseAllocator {
         let (routers, pools) = (BTreeMap::new(), BTreeMap::new());
-        Pools {
+        QuotaLeaseAllocator {
             margin,
             routers,
             pools,
@@ -506,10 +507,10 @@
 
     /// A router said that it admits nothing any more; what it has used stays in
     /// the window.
-    pub fn leave(&mut self, now: u64, front: &str) {
+    pub fn router_left(&mut self, now: u64, front: &str) {
         let window = self.margin.window_ms;
         if let Some(router) = self.routers.get_mut(front) {
-            router.heard = router.heard.min(now.saturating_sub(HOLD_MS));
+            router.heard = router.heard.min(now.saturating_sub(QUOTA_LEASE_MS));
         }
         for pool in self.pools.values_mut() {
             if let Some(account) = pool.accounts.get_mut(front) {
@@ -521,8 +522,8 @@
     }
 
     /// Answers the demands of one beat; `routers` is how many were known in the
-    /// last `HOLD_MS`, also silent ones, but for those that left; `terms` gives a tenant's rate and burst.
-    pub fn answer(
+    /// last `QUOTA_LEASE_MS`, also silent ones, but for those that left; `terms` gives a tenant's rate and burst.
+    pub fn allocate(
         &mut self,
         now: u64,
         from: &FrontDemand,
@@ -536,7 +537,7 @@
         };
         let window = self.margin.window_ms;
         self.routers
-            .retain(|_, router| now < router.heard + HOLD_MS + window);
+            .retain(|_, router| now < router.heard + QUOTA_LEASE_MS + window);
         if !self.hear(now, from, routers) {
             return answer;
         }
@@ -630,7 +631,7 @@
                 .values()
                 .filter(|router| router.heard >= settled)
                 .count();
-            let is_long = now >= self.since + HOLD_MS + self.margin.window_ms;
+            let is_long = now >= self.since + QUOTA_LEASE_MS + self.margin.window_ms;
             self.has_heard_all = heard >= routers && now >= settled || is_long;
         }
         true
--- a/placement/tests/allowance.rs
+++ b/placement/tests/allowance.rs
@@ -5,7 +5,7 @@
 const BOUND: RetryLimit = RetryLimit {
     ratio: 0.2,
     window_ms: 10_000,
-    extra: 58.0,
+    extra_retries: 58.0,
 };
 
 /// Guards: retries do not grow beyond the bound, over all routers together, in any
@@ -44,7 +44,7 @@
         };
         for from in (0..60_000u64).step_by(100) {
             let until = from + BOUND.window_ms;
-            let most = BOUND.ratio * count(&jobs, from, until) as f64 + BOUND.extra;
+            let most = BOUND.ratio * count(&jobs, from, until) as f64 + BOUND.extra_retries;
             let had = count(&rounds, from, until);
             assert!(
                 had as f64 <= most,
--- a/placement/tests/pools.rs
+++ b/placement/tests/pools.rs
@@ -1,11 +1,11 @@
 //! Tenants' quotas over whole fleets in virtual time, from fixed seeds.
 
-use placement::{Margin, Pools, Taps, OPENING};
+use placement::{LeaseRateLimiter, QuotaLeaseAllocator, QuotaTolerance, STARTUP_RESERVE_RATIO};
 use protocol::{FrontDemand, FrontShares, LEASE_MS};
 
-const MARGIN: Margin = Margin {
-    overrun: 1.1,
-    extra: 20.0,
+const MARGIN: QuotaTolerance = QuotaTolerance {
+    overrun_factor: 1.1,
+    extra_requests: 20.0,
     window_ms: 5_000,
 };
 const STEP_MS: u64 = 5;
@@ -86,15 +86,15 @@
     let Plan { routers, rate, .. } = plan;
     let mut draw = draws(plan.seed + 1);
     let mut lives = routers as u64;
-    let mut fleet: Vec<Taps> = (0..routers)
-        .map(|at| Taps::new(0, at as u64 + 1, MARGIN))
+    let mut fleet: Vec<LeaseRateLimiter> = (0..routers)
+        .map(|at| LeaseRateLimiter::new(0, at as u64 + 1, MARGIN))
         .collect();
     let mut numbers = vec![0; routers];
     let mut next: Vec<u64> = (0..routers).map(|_| draw(plan.beat_ms)).collect();
     let mut frozen = vec![0; routers];
     let mut cut = vec![0; routers];
     let mut waiting = vec![0u64; routers];
-    let mut pools = Some(Pools::new(0, MARGIN));
+    let mut pools = Some(QuotaLeaseAllocator::new(0, MARGIN));
     let mut leader_at = 0;
     let mut up: Vec<(u64, usize, u64, FrontDemand)> = Vec::new();
     let mut down: Vec<(u64, usize, u64, FrontShares)> = Vec::new();
@@ -150,7 +150,7 @@
                         } else {
                             now
                         };
-                        fleet[at] = Taps::new(began, lives, MARGIN);
+                        fleet[at] = LeaseRateLimiter::new(began, lives, MARGIN);
                         (numbers[at], waiting[at], frozen[at]) = (0, 0, 0);
                         if plan.guard == Guard::Connections {
                             continue;
@@ -169,7 +169,7 @@
                         } else {
                             now
                         };
-                        fleet[at] = Taps::new(began, lives, MARGIN);
+                        fleet[at] = LeaseRateLimiter::new(began, lives, MARGIN);
                         (numbers[at], waiting[at], frozen[at]) = (0, 0, 0);
                     }
                     up.clear();
@@ -180,7 +180,7 @@
             }
         }
         if pools.is_none() && now >= leader_at {
-            pools = Some(Pools::new(now, MARGIN));
+            pools = Some(QuotaLeaseAllocator::new(now, MARGIN));
         }
         for at in 0..routers {
             if now < next[at] || now < frozen[at] {
@@ -188,7 +188,7 @@
             }
             numbers[at] += 1;
             next[at] = now + plan.beat_ms;
-            let demand = fleet[at].demands(now, &format!("router-{at}"), numbers[at]);
+            let demand = fleet[at].demand(now, &format!("router-{at}"), numbers[at]);
             if now >= cut[at] && draw(20) > 0 {
                 up.push((now + 20 + draw(131), at, now, demand.clone()));
                 if draw(20) == 0 {
@@ -209,7 +209,7 @@
                     .iter_mut()
                     .for_each(|demand| demand.waiting = 0);
             }
-            let answer = pools.answer(now, &demand, routers, |_| Some((rate_now, rate_now)));
+            let answer = pools.allocate(now, &demand, routers, |_| Some((rate_now, rate_now)));
             if draw(20) > 0 {
                 down.push((now + 20 + draw(131), at, asked, answer));
             }
@@ -220,7 +220,7 @@
         down = later;
         for (_, at, asked, answer) in come {
             if now >= cut[at] {
-                fleet[at].take(now, answer.number, asked + LEASE_MS, &answer.shares);
+                fleet[at].apply_shares(now, answer.number, asked + LEASE_MS, &answer.shares);
             }
         }
         // Callers know nothing of a rate that was lowered.
@@ -275,7 +275,7 @@
 /// part of what may be.
 fn worst(admitted: &[u64], from: u64, rate: u64) -> f64 {
     let refill = (rate * MARGIN.window_ms) as f64 / 1_000.0;
-    let most = (refill + rate as f64) * MARGIN.overrun + MARGIN.extra;
+    let most = (refill + rate as f64) * MARGIN.overrun_factor + MARGIN.extra_requests;
     let mut first = 0;
     let inside = admitted
         .iter()
@@ -326,9 +326,10 @@
     match plan.faults {
         Faults::Restarts | Faults::Wholesale | Faults::All => 1.0,
         _ => {
-            let all = ((plan.rate * 6) as f64 * MARGIN.overrun + MARGIN.extra).floor();
+            let all =
+                ((plan.rate * 6) as f64 * MARGIN.overrun_factor + MARGIN.extra_requests).floor();
             let routers = plan.routers as f64;
-            1.0 - (all * OPENING / routers).floor() * routers / all
+            1.0 - (all * STARTUP_RESERVE_RATIO / routers).floor() * routers / all
         }
     }
 }
@@ -479,22 +480,22 @@
 #[test]
 fn basic_cases() {
     let terms = |_: &str| Some((2, 2));
-    let burst = |taps: &mut Taps, now: u64, jobs: u64| {
+    let burst = |taps: &mut LeaseRateLimiter, now: u64, jobs: u64| {
         (0..jobs).filter(|_| taps.admit(now, "t", 2, 2, 1)).count()
     };
     let number = |demand: &FrontDemand| demand.number;
     // Rate and burst allow 33 in a window; 8 of them are for the young, and half
     // of the rest is the floor; seven tenths of a part may go within half a window.
-    let young = |now: u64, jobs: u64| burst(&mut Taps::new(0, 7, MARGIN), now, jobs);
+    let young = |now: u64, jobs: u64| burst(&mut LeaseRateLimiter::new(0, 7, MARGIN), now, jobs);
     assert_eq!(young(0, 50), 8, "its opening, at once");
-    let mut taps = Taps::new(0, 7, MARGIN);
+    let mut taps = LeaseRateLimiter::new(0, 7, MARGIN);
     assert_eq!(
         burst(&mut taps, 4_500, 50) + burst(&mut taps, 4_999, 50),
         8,
         "no more"
     );
     let unknown = taps.admit(20_000, "other", 2, 2, 1);
-    assert!(unknown && !Taps::new(0, 8, MARGIN).admit(20_000, "t", 2, 2, 0));
+    assert!(unknown && !LeaseRateLimiter::new(0, 8, MARGIN).admit(20_000, "t", 2, 2, 0));
     let cases: [(&str, u64, bool, bool, usize); 3] = [
         (
             "a router without a word has its floor",
@@ -513,14 +514,17 @@
         ("a late word is none", 20_000, true, true, 9),
     ];
     for (what, now, is_answered, is_late, admitted) in cases {
-        let (mut taps, mut pools) = (Taps::new(0, 7, MARGIN), Pools::new(0, MARGIN));
+        let (mut taps, mut pools) = (
+            LeaseRateLimiter::new(0, 7, MARGIN),
+            QuotaLeaseAllocator::new(0, MARGIN),
+        );
         let mut before = 0;
         if is_answered {
             before = burst(&mut taps, now - 100, 1);
-            let demand = taps.demands(now - 100, "a", 1);
-            let answer = pools.answer(now - 50, &demand, 1, terms);
+            let demand = taps.demand(now - 100, "a", 1);
+            let answer = pools.allocate(now - 50, &demand, 1, terms);
             let until = if is_late { now } else { now - 100 + LEASE_MS };
-            taps.take(now, number(&demand), until, &answer.shares);
+            taps.apply_shares(now, number(&demand), until, &answer.shares);
         }
         assert_eq!(before + burst(&mut taps, now, 50), admitted, "{what}");
         assert_eq!(
@@ -530,43 +534,53 @@
         );
     }
 
-    let (mut taps, mut pools) = (Taps::new(0, 7, MARGIN), Pools::new(0, MARGIN));
+    let (mut taps, mut pools) = (
+        LeaseRateLimiter::new(0, 7, MARGIN),
+        QuotaLeaseAllocator::new(0, MARGIN),
+    );
     assert!(
-        taps.demands(9_000, "a", 1).demands.is_empty(),
+        taps.demand(9_000, "a", 1).demands.is_empty(),
         "nobody asked"
     );
     assert_eq!(burst(&mut taps, 10_000, 1), 1);
-    let demand = taps.demands(10_000, "a", 2);
-    let first = pools.answer(10_050, &demand, 1, terms);
+    let demand = taps.demand(10_000, "a", 2);
+    let first = pools.allocate(10_050, &demand, 1, terms);
     assert_eq!(first.shares.len(), 1);
     assert!(
-        pools.answer(10_060, &demand, 1, terms).shares.is_empty(),
+        pools.allocate(10_060, &demand, 1, terms).shares.is_empty(),
         "said twice"
     );
-    taps.take(10_100, 2, 12_000, &first.shares);
+    taps.apply_shares(10_100, 2, 12_000, &first.shares);
     // It says so for a minute, gives its part back, and is silent once that is
     // known.
-    assert_eq!(taps.demands(60_000, "a", 3).demands.len(), 1);
-    let back = taps.demands(70_100, "a", 4);
+    assert_eq!(taps.demand(60_000, "a", 3).demands.len(), 1);
+    let back = taps.demand(70_100, "a", 4);
     assert_eq!((back.demands[0].waiting, back.demands[0].ahead), (0, 0));
     assert_eq!(
-        taps.demands(70_450, "a", 5).demands.len(),
+        taps.demand(70_450, "a", 5).demands.len(),
         1,
         "not yet known"
     );
-    let answer = pools.answer(70_500, &back, 1, terms);
-    taps.take(70_550, 4, 72_100, &answer.shares);
-    assert!(taps.demands(70_800, "a", 6).demands.is_empty());
+    let answer = pools.allocate(70_500, &back, 1, terms);
+    taps.apply_shares(70_550, 4, 72_100, &answer.shares);
+    assert!(taps.demand(70_800, "a", 6).demands.is_empty());
 
     // A router that left leaves its part to others, a silent one does not.
     for (has_left, lent) in [(true, 24), (false, 0)] {
-        let mut pools = Pools::new(0, MARGIN);
-        let mut fleet = [Taps::new(0, 7, MARGIN), Taps::new(0, 8, MARGIN)];
-        let ask = |taps: &mut Taps, pools: &mut Pools, now: u64, front: &str, number: u64| {
+        let mut pools = QuotaLeaseAllocator::new(0, MARGIN);
+        let mut fleet = [
+            LeaseRateLimiter::new(0, 7, MARGIN),
+            LeaseRateLimiter::new(0, 8, MARGIN),
+        ];
+        let ask = |taps: &mut LeaseRateLimiter,
+                   pools: &mut QuotaLeaseAllocator,
+                   now: u64,
+                   front: &str,
+                   number: u64| {
             taps.admit(now, "t", 2, 2, 2);
-            let demand = taps.demands(now, front, number);
-            let answer = pools.answer(now, &demand, 2, terms);
-            taps.take(now, number, now + LEASE_MS, &answer.shares);
+            let demand = taps.demand(now, front, number);
+            let answer = pools.allocate(now, &demand, 2, terms);
+            taps.apply_shares(now, number, now + LEASE_MS, &answer.shares);
             answer
                 .shares
                 .first()
@@ -579,7 +593,7 @@
         ask(other, &mut pools, 10_350, "b", 2);
         let before = ask(one, &mut pools, 10_350, "a", 2);
         if has_left {
-            pools.leave(11_000, "b");
+            pools.router_left(11_000, "b");
         }
         let after = ask(one, &mut pools, 30_000, "a", 3);
         assert_eq!(
--- a/router/src/extensions.rs
+++ b/router/src/extensions.rs
@@ -5,7 +5,7 @@
 use dispatch::DispatchOptions;
 use http::HeaderMap;
 use parking_lot::Mutex;
-use placement::{Margin, RetryTokenBucket};
+use placement::{QuotaTolerance, RetryTokenBucket};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use transport::web::{Handler, Refusal, Request, Response, JOB};
@@ -96,7 +96,7 @@
     pub servers: Vec<AdditionalServer>,
     /// How far past its quota a tenant may get over all routers, where no job is to
     /// wait for the leader's word.
-    pub quota_margin: Option<Margin>,
+    pub quota_margin: Option<QuotaTolerance>,
     /// Engines give no vitals: they are known by their answers.
     pub uses_passive_health_checks: bool,
 }
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -7,7 +7,7 @@
 use dispatch::quota::QuotaLimiter;
 use nix::time::{clock_gettime, ClockId};
 use parking_lot::Mutex;
-use placement::{Margin, ReplicaView, RouterMembership};
+use placement::{QuotaTolerance, ReplicaView, RouterMembership};
 use protocol::{Frame, Front, Kind};
 use simd_json::json;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -35,7 +35,7 @@
     pub places: Vec<(String, String)>,
     /// Of how many tenants each speaks.
     pub spoken: usize,
-    pub margin: Margin,
+    pub margin: QuotaTolerance,
 }
 
 /// How many routers one octet has addresses for.
