--- a/directory/src/driver/mod.rs
+++ b/directory/src/driver/mod.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 use transport::now;
-use transport::web::Refusal;
+use transport::rejection::Rejection;
 
 const REQUEST_TIMEOUT_MS: u64 = 1_500;
 /// Between two questions whether this node may stop.
@@ -234,7 +234,7 @@
     }
 
     /// Leave to dispatch a forwarded job, in the last moment.
-    pub fn check_dispatch(&self, mapping: &Mapping) -> Result<(), Refusal> {
+    pub fn check_dispatch(&self, mapping: &Mapping) -> Result<(), Rejection> {
         let asker = mapping
             .regions
             .first()
@@ -251,7 +251,7 @@
             {
                 Ok(())
             }
-            _ => Err(Refusal::not_run(
+            _ => Err(Rejection::not_run(
                 503,
                 "mapping-void",
                 "homes changed meanwhile",
@@ -309,8 +309,8 @@
 }
 
 /// The refusal of a node that no majority has confirmed lately.
-pub fn no_lease_refusal() -> Refusal {
-    Refusal::not_run(
+pub fn no_lease_refusal() -> Rejection {
+    Rejection::not_run(
         503,
         "no-lease",
         "this directory node is cut off from a majority",
--- a/directory/src/forwarded_requests.rs
+++ b/directory/src/forwarded_requests.rs
@@ -19,7 +19,7 @@
 use tokio::io::AsyncRead;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use transport::web::{self, Refusal};
+use transport::rejection::{self, Rejection};
 use transport::{link, now};
 
 /// A body whose key is not found within this is refused.
@@ -27,7 +27,7 @@
 /// How long a job waits for the leader's word on its quota.
 const QUOTA_PATIENCE: Duration = Duration::from_millis(2_500);
 
-fn declined(refusal: &Refusal) -> Frame {
+fn declined(refusal: &Rejection) -> Frame {
     Frame::Declined {
         status: refusal.status,
         code: refusal.code.clone(),
@@ -44,7 +44,8 @@
         return link::send(&mut writer, &Frame::Refused { text }).await;
     }
     link::send(&mut writer, &Frame::Welcome).await?;
-    let first = tokio::time::timeout(link::PATIENCE, link::receive(&mut reader, 1 << 20)).await??;
+    let first = tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::receive(&mut reader, 1 << 20))
+        .await??;
     let Some(Frame::Job(head)) = first else {
         bail!("a job's connection begins with the job")
     };
@@ -56,7 +57,7 @@
     );
     let found = match read.await {
         Ok(found) => found?,
-        Err(_) => Err(Refusal::not_run(
+        Err(_) => Err(Rejection::not_run(
             408,
             "slow-body",
             "the body came too slowly",
@@ -96,7 +97,8 @@
     let bytes = Arc::clone(&control.forwarding_bytes).try_acquire_many_owned(weight);
     let (Ok(_place), Ok(_bytes)) = (place, bytes) else {
         control.metrics.increment("jobs-over-budget");
-        let refusal = Refusal::not_run(503, "directory-full", "take the job to an engine yourself");
+        let refusal =
+            Rejection::not_run(503, "directory-full", "take the job to an engine yourself");
         return link::send(&mut writer, &declined(&refusal)).await;
     };
     let is_repeatable = control
@@ -218,7 +220,7 @@
     control: &ControlPlane,
     head: &JobHead,
     reader: &mut (impl AsyncRead + Unpin),
-) -> anyhow::Result<Result<Found, Refusal>> {
+) -> anyhow::Result<Result<Found, Rejection>> {
     if !control.driver.lease_valid() {
         return Ok(Err(no_lease_refusal()));
     }
@@ -230,7 +232,7 @@
         .map(|found| found.map(|view| view.clone()))
     else {
         let text = "this directory node is behind the router";
-        return Ok(Err(Refusal::not_run(503, "behind", text)));
+        return Ok(Err(Rejection::not_run(503, "behind", text)));
     };
     let headers = headers_from_frame(&head.headers)?;
     // The door's own view of the job, as the rules read it.
@@ -249,7 +251,7 @@
     let mut route = None;
     with_head(&mut |head| route = view.program.match_route(head));
     let Some(route) = route else {
-        return Ok(Err(Refusal::not_run(
+        return Ok(Err(Rejection::not_run(
             404,
             "no-route",
             "no route is_match this method and path",
@@ -278,7 +280,7 @@
             _ => {}
         }
     };
-    let refuse = |status, code, text: &str| Ok(Err(Refusal::not_run(status, code, text)));
+    let refuse = |status, code, text: &str| Ok(Err(Rejection::not_run(status, code, text)));
     let KeyField::Known(key) = &extract.tenant else {
         return refuse(401, "no-key", "no tenant key is to be found in this job");
     };
@@ -302,6 +304,6 @@
             is_ended,
             route,
         }),
-        Err((code, text)) => Err(web::no_place(code, text)),
+        Err((code, text)) => Err(rejection::lookup_rejection(code, text)),
     })
 }
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -80,7 +80,7 @@
 pub struct HttpServer {
     pub address: SocketAddr,
     pub max_body_bytes: usize,
-    pub handler: Box<dyn FnOnce(Arc<ControlPlane>) -> transport::web::Handler + Send>,
+    pub handler: Box<dyn FnOnce(Arc<ControlPlane>) -> transport::http_server::Handler + Send>,
 }
 
 /// What is told of a node that is up.
@@ -325,7 +325,7 @@
     )?];
     for front in extensions.http_servers {
         let handler = (front.handler)(Arc::clone(&control));
-        servers.push(transport::web::serve(
+        servers.push(transport::http_server::serve(
             front.address,
             front.max_body_bytes,
             handler,
@@ -357,7 +357,7 @@
         tokio::spawn(engine_discovery::run(Arc::clone(&control), listing));
     }
     log::info!(identity = format!("{identity:016x}"); "directory node is up at {address}");
-    transport::wait_for_end().await?;
+    transport::shutdown_signal().await?;
     log::info!("stopping");
     control
         .driver
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -12,9 +12,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use transport::web::{self, Request, Response};
+use transport::http_server::{self, Request, Response};
 
-type Server = dropshot::HttpServer<web::Handler>;
+type Server = dropshot::HttpServer<http_server::Handler>;
 
 /// The most that a proposal may hold.
 const SUBMISSION_CAP: usize = 8 << 20;
@@ -24,23 +24,23 @@
 const PATIENCE: Duration = Duration::from_millis(3_500);
 
 pub fn serve(control: Arc<ControlPlane>, address: SocketAddr) -> anyhow::Result<Server> {
-    let handler: web::Handler = Arc::new(move |request| {
+    let handler: http_server::Handler = Arc::new(move |request| {
         let control = Arc::clone(&control);
         Box::pin(async move { answer(&control, request).await })
     });
-    web::serve(address, SUBMISSION_CAP, handler)
+    http_server::serve(address, SUBMISSION_CAP, handler)
 }
 
 fn refused(status: u16, code: &str, text: impl Into<String>) -> Response {
-    web::json(status, &json!({ "code": code, "text": text.into() }))
+    http_server::json(status, &json!({ "code": code, "text": text.into() }))
 }
 
 async fn answer(control: &ControlPlane, request: Request) -> Response {
     let path = request.uri().path().to_string();
     match (request.method().as_str(), path.as_str()) {
         ("GET", "/vitals") => vitals(control),
-        ("GET", "/counters") => web::json(200, &control.metrics.to_json()),
-        ("GET", "/traffic") => web::json(200, &telemetry::traffic::to_json()),
+        ("GET", "/counters") => http_server::json(200, &control.metrics.to_json()),
+        ("GET", "/traffic") => http_server::json(200, &telemetry::traffic::to_json()),
         ("GET", "/status") => status(control).await,
         ("GET", "/book") => book(control).await,
         ("GET", "/explain") => explain(control, &request),
@@ -71,7 +71,7 @@
         "leads": cluster_status.is_leader,
         "epoch": control.driver.view.borrow().epoch,
     });
-    web::json(if is_well { 200 } else { 503 }, &value)
+    http_server::json(if is_well { 200 } else { 503 }, &value)
 }
 
 fn members(cluster_status: &ClusterStatus, report: &MembershipReport) -> OwnedValue {
@@ -184,7 +184,7 @@
         "windows": windows,
         "keys": state.view.keys.len(),
     });
-    web::json(200, &value)
+    http_server::json(200, &value)
 }
 
 /// The document in force, never one older than what was acknowledged before it
@@ -195,12 +195,12 @@
     }
     let state = control.driver.state.read();
     let document = residency::parse_json(&state.document()).unwrap_or_default();
-    web::json(200, &json!({ "epoch": state.epoch(), "book": document }))
+    http_server::json(200, &json!({ "epoch": state.epoch(), "book": document }))
 }
 
 /// Which engine a key gets, and why; from what this node sees.
 fn explain(control: &ControlPlane, request: &Request) -> Response {
-    let field = |name: &str| web::query(request.uri(), name);
+    let field = |name: &str| http_server::query_parameter(request.uri(), name);
     let (Some(tenant), Some(service)) = (field("tenant"), field("service")) else {
         return refused(400, "bad-question", "tenant and service are needed");
     };
@@ -260,7 +260,7 @@
         "why": why,
         "engines": control.dispatcher.engine_tracker.to_json(view.program.set_points.target_utilization),
     });
-    web::json(200, &value)
+    http_server::json(200, &value)
 }
 
 async fn found(control: &ControlPlane) -> Response {
@@ -275,7 +275,7 @@
         .and_then(|led| led.ok())
         .map(|cluster_status| cluster_status.cluster);
     match cluster {
-        Some(cluster) => web::json(200, &json!({ "cluster": hex(cluster) })),
+        Some(cluster) => http_server::json(200, &json!({ "cluster": hex(cluster) })),
         None => refused(
             503,
             "not-yet",
@@ -285,12 +285,12 @@
 }
 
 async fn retire(control: &ControlPlane, request: Request) -> Response {
-    let identity = web::query(request.uri(), "identity");
+    let identity = http_server::query_parameter(request.uri(), "identity");
     let Some(identity) = identity.and_then(|text| u64::from_str_radix(&text, 16).ok()) else {
         return refused(400, "bad-question", "identity is 16 hexadecimal digits");
     };
     match control.driver.ask(PeerRequest::Retire { identity }).await {
-        PeerResponse::Changed => web::json(200, &json!({ "retired": hex(identity) })),
+        PeerResponse::Changed => http_server::json(200, &json!({ "retired": hex(identity) })),
         PeerResponse::Unfit(text) => refused(409, "unfit", text.0),
         PeerResponse::Lost => refused(
             503,
@@ -455,7 +455,7 @@
 }
 
 async fn submit(control: &ControlPlane, request: Request) -> Response {
-    let value = match web::read_json(request.into_body(), SUBMISSION_CAP).await {
+    let value = match http_server::read_json(request.into_body(), SUBMISSION_CAP).await {
         Ok(value) => value,
         Err(text) => return refused(400, "bad-json", text),
     };
@@ -477,10 +477,10 @@
     }
     match reply {
         PeerResponse::Submitted(Outcome::Applied { epoch }) => {
-            web::json(200, &json!({ "id": id, "epoch": epoch, "repeated": false }))
+            http_server::json(200, &json!({ "id": id, "epoch": epoch, "repeated": false }))
         }
         PeerResponse::Submitted(Outcome::Duplicate { epoch }) => {
-            web::json(200, &json!({ "id": id, "epoch": epoch, "repeated": true }))
+            http_server::json(200, &json!({ "id": id, "epoch": epoch, "repeated": true }))
         }
         PeerResponse::Submitted(Outcome::Conflict { epoch }) => refused(
             409,
--- a/directory/src/peers.rs
+++ b/directory/src/peers.rs
@@ -167,7 +167,7 @@
             tokio::select! {
                 frame = frames.recv() => {
                     let Some(frame) = frame else { return Ok(()) };
-                    tokio::time::timeout(link::PATIENCE, link::send(&mut writer, &frame)).await??;
+                    tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(&mut writer, &frame)).await??;
                 }
                 back = link::receive(&mut reader, protocol::HELLO_CAP) => {
                     match back? {
@@ -207,7 +207,7 @@
 }
 
 async fn serve_connection(control: Arc<ControlPlane>, mut stream: TcpStream) -> anyhow::Result<()> {
-    let (kind, name) = link::greet(&mut stream).await?;
+    let (kind, name) = link::accept_handshake(&mut stream).await?;
     match kind {
         Kind::Directory => receive_from_peer(control, stream).await,
         Kind::Router => subscriptions::serve(control, stream, name).await,
--- a/directory/src/subscriptions.rs
+++ b/directory/src/subscriptions.rs
@@ -152,7 +152,8 @@
     let _told = transport::AbortOnDrop(told.abort_handle());
     let writing = async {
         while let Some(frame) = queue.recv().await {
-            tokio::time::timeout(link::PATIENCE * 2, link::send(&mut writer, &frame)).await??;
+            tokio::time::timeout(link::HANDSHAKE_TIMEOUT * 2, link::send(&mut writer, &frame))
+                .await??;
         }
         anyhow::Ok(())
     };
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -20,7 +20,7 @@
 use telemetry::metrics::Metrics;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
-use transport::web::{Refusal, JOB};
+use transport::rejection::{Rejection, REQUEST_ID_HEADER};
 use transport::{link, now, AbortOnDrop};
 
 /// A stream that gives nothing for this long is broken.
@@ -216,7 +216,7 @@
         EngineProtocol {
             rewrite_headers: Box::new(move |headers, dress| {
                 headers.insert("host", value(&dress.address.to_string()));
-                headers.insert(JOB, value(dress.id));
+                headers.insert(REQUEST_ID_HEADER, value(dress.id));
             }),
             classify_response: Box::new(|_, status, headers| {
                 let is_declined = status == 503
@@ -252,7 +252,7 @@
         DispatchOptions {
             engine_protocol: EngineProtocol::default(),
             idle_timeout_ms: 0,
-            connect_timeout: link::PATIENCE,
+            connect_timeout: link::HANDSHAKE_TIMEOUT,
             discovery_wait_ms: DISCOVERY_WAIT_MS,
             abandon_after_fraction: 0.0,
         }
@@ -260,7 +260,7 @@
 }
 
 /// Permission to dispatch, asked for in the last moment before the first byte.
-pub type PermitDispatch = Arc<dyn Fn(&Mapping) -> Result<(), Refusal> + Send + Sync>;
+pub type PermitDispatch = Arc<dyn Fn(&Mapping) -> Result<(), Rejection> + Send + Sync>;
 
 pub struct Dispatcher {
     pub source: SocketAddr,
@@ -312,10 +312,10 @@
     }
 }
 
-fn unknown(status: u16, code: &str, text: &str) -> Refusal {
-    Refusal {
+fn unknown(status: u16, code: &str, text: &str) -> Rejection {
+    Rejection {
         outcome: ExecutionOutcome::Unknown,
-        ..Refusal::not_run(status, code, text)
+        ..Rejection::not_run(status, code, text)
     }
 }
 
@@ -337,7 +337,7 @@
         carried: &mut RequestBody,
         mapping: &Mapping,
         prefix: u64,
-    ) -> Result<EngineResponse, Refusal> {
+    ) -> Result<EngineResponse, Rejection> {
         let asked = now();
         let mapping = Arc::new(mapping.clone());
         let mut avoid: Vec<String> = Vec::new();
@@ -371,7 +371,7 @@
                 Ok(seat) => seat,
                 Err(refusal) if job.outcome() == ExecutionOutcome::NotRun => return Err(refusal),
                 Err(refusal) => {
-                    return Err(Refusal {
+                    return Err(Rejection {
                         outcome: ExecutionOutcome::Unknown,
                         ..refusal
                     })
@@ -419,14 +419,14 @@
                 Err(GuardError::Deadline) => return Err(self.late(job)),
                 Err(GuardError::Key) => {
                     let text = "this tenant key was taken away meanwhile";
-                    let refusal = Refusal::not_run(401, "unknown-key", text);
-                    return Err(Refusal {
+                    let refusal = Rejection::not_run(401, "unknown-key", text);
+                    return Err(Rejection {
                         outcome: job.outcome(),
                         ..refusal
                     });
                 }
                 Err(GuardError::NotPermitted(refusal)) => {
-                    return Err(Refusal {
+                    return Err(Rejection {
                         outcome: job.outcome(),
                         ..refusal
                     })
@@ -637,17 +637,17 @@
         })
     }
 
-    fn late(&self, job: &RequestStateMachine) -> Refusal {
-        let refusal = Refusal::not_run(504, "deadline", "the job's deadline passed");
-        Refusal {
+    fn late(&self, job: &RequestStateMachine) -> Rejection {
+        let refusal = Rejection::not_run(504, "deadline", "the job's deadline passed");
+        Rejection {
             outcome: job.outcome(),
             ..refusal
         }
     }
 
-    fn give_up(&self, job: &RequestStateMachine, why: &str) -> Refusal {
+    fn give_up(&self, job: &RequestStateMachine, why: &str) -> Rejection {
         match job.outcome() {
-            ExecutionOutcome::NotRun => Refusal::not_run(
+            ExecutionOutcome::NotRun => Rejection::not_run(
                 503,
                 "engines-unreachable",
                 format!("no engine took the job and {why}"),
@@ -667,7 +667,7 @@
         wanted: &Wanted<'_>,
         asked: u64,
         deadline: u64,
-    ) -> Result<EngineSlot, Refusal> {
+    ) -> Result<EngineSlot, Rejection> {
         loop {
             let room = self.engine_tracker.capacity_changed.notified();
             tokio::pin!(room);
@@ -677,11 +677,11 @@
                 Selection::Engine(seat) => return Ok(seat),
                 Selection::AtCapacity => (
                     (asked + self.slot_wait_ms).min(deadline),
-                    Refusal::not_run(503, "engines-full", "every engine allowed is at its limit"),
+                    Rejection::not_run(503, "engines-full", "every engine allowed is at its limit"),
                 ),
                 Selection::NoneAvailable => (
                     (asked + self.options.discovery_wait_ms).min(deadline),
-                    Refusal::not_run(503, "no-engine", "no engine allowed is in sight"),
+                    Rejection::not_run(503, "no-engine", "no engine allowed is in sight"),
                 ),
             };
             let left = until.saturating_sub(now());
--- a/dispatch/src/guard.rs
+++ b/dispatch/src/guard.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use transport::now;
-use transport::web::Refusal;
+use transport::rejection::Rejection;
 
 /// Everything that must hold when the first byte of a job leaves for an engine.
 pub struct DispatchGuard {
@@ -30,7 +30,7 @@
 pub enum GuardError {
     Deadline,
     Key,
-    NotPermitted(Refusal),
+    NotPermitted(Rejection),
     /// The engine may not have it any more; another one may.
     Engine,
 }
--- a/dispatch/src/quota.rs
+++ b/dispatch/src/quota.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use transport::now;
-use transport::web::Refusal;
+use transport::rejection::Rejection;
 
 /// Whose word a process admits by: asked for each job where it lies nowhere yet,
 /// or lying here before the job comes.
@@ -95,13 +95,13 @@
         (pace, burst): (u64, u64),
         routers: usize,
         patience: Duration,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), Rejection> {
         if pace == 0 {
             return Ok(());
         }
         let past = || {
             let text = format!("{tenant} is past its pace of {pace} jobs a second");
-            Refusal::not_run(429, "quota", text)
+            Rejection::not_run(429, "quota", text)
         };
         let meters = match &self.means {
             Means::Queueing(meters) => meters,
@@ -132,7 +132,7 @@
                 AdmissionDecision::OverQuota => return Err(past()),
                 AdmissionDecision::NoLeader => {
                     let text = "no directory node speaks for this tenant's pace now";
-                    return Err(Refusal::not_run(503, "no-leader", text));
+                    return Err(Rejection::not_run(503, "no-leader", text));
                 }
             }
             self.urgent.notify_one();
--- a/router/src/extensions.rs
+++ b/router/src/extensions.rs
@@ -8,10 +8,11 @@
 use placement::{QuotaTolerance, RetryTokenBucket};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use transport::web::{Handler, Refusal, Request, Response, JOB};
+use transport::http_server::{Handler, Request, Response};
+use transport::rejection::{Rejection, REQUEST_ID_HEADER};
 
 type Reading<T> = Box<dyn Fn(&HeaderMap) -> Option<T> + Send + Sync>;
-type Refusing = Box<dyn Fn(&Refusal, &str) -> Response + Send + Sync>;
+type Refusing = Box<dyn Fn(&Rejection, &str) -> Response + Send + Sync>;
 type Marking = Box<dyn Fn(&mut HeaderMap, &str) + Send + Sync>;
 type Paging = Box<dyn Fn(&Arc<Router>, &Request) -> Option<Response> + Send + Sync>;
 type Handling = Box<dyn Fn(Arc<Router>) -> Handler + Send + Sync>;
@@ -42,12 +43,12 @@
                 .map(String::from)
         };
         ClientAdapter {
-            request_id: Box::new(move |headers| text(headers, JOB)),
+            request_id: Box::new(move |headers| text(headers, REQUEST_ID_HEADER)),
             remaining_ms: Box::new(move |headers| text(headers, "x-deadline-ms")?.parse().ok()),
             refusal_response: Box::new(|refusal, id| refusal.response(id)),
             decorate_response: Box::new(|headers, id| {
                 if let Ok(id) = id.parse() {
-                    headers.insert(JOB, id);
+                    headers.insert(REQUEST_ID_HEADER, id);
                 }
             }),
             other_pages: Box::new(|router, request| {
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -18,7 +18,8 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
-use transport::web::{Refusal, Response};
+use transport::http_server::Response;
+use transport::rejection::Rejection;
 use transport::AbortOnDrop;
 use transport::{link, now};
 
@@ -32,7 +33,7 @@
     Mapping(Mapping),
     /// No node could be reached; nothing was sent.
     Unreachable,
-    Refused(Refusal),
+    Refused(Rejection),
 }
 
 /// Directory nodes that may see the body, as things are now: of this region,
@@ -89,7 +90,7 @@
                     parts.key.is_empty() || router.view.borrow().keys.contains_key(&parts.key);
                 if !is_known {
                     let text = "this tenant key was taken away meanwhile";
-                    return ForwardOutcome::Refused(Refusal::not_run(401, "unknown-key", text));
+                    return ForwardOutcome::Refused(Rejection::not_run(401, "unknown-key", text));
                 }
                 apply_event(job, RequestEvent::Forwarded);
                 router.metrics.increment("forwards");
@@ -131,8 +132,8 @@
 }
 
 fn lost(status: u16, code: &'static str, text: &str) -> ForwardOutcome {
-    let refusal = Refusal::not_run(status, code, text);
-    ForwardOutcome::Refused(Refusal {
+    let refusal = Rejection::not_run(status, code, text);
+    ForwardOutcome::Refused(Rejection {
         outcome: ExecutionOutcome::Unknown,
         ..refusal
     })
@@ -220,7 +221,7 @@
                 text,
                 retry_after_ms,
             }) => {
-                let mut refusal = Refusal::not_run(status, &code, text);
+                let mut refusal = Rejection::not_run(status, &code, text);
                 if !not_run {
                     apply_event(job, RequestEvent::ResponseLost);
                     refusal.outcome = ExecutionOutcome::Unknown;
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -16,15 +16,16 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
-use transport::doors::{self, Doors};
+use transport::http_listener::{self, HttpListener};
+use transport::http_server::{self, Request, Response};
 use transport::now;
-use transport::web::{self, Refusal, Request, Response};
+use transport::rejection::{self, Rejection};
 
 /// How long a job waits for the mapping that another one asks for.
 const JOIN_PATIENCE: Duration = Duration::from_millis(1_500);
 const RESOLVE_PATIENCE: Duration = Duration::from_millis(1_000);
 
-pub async fn serve(router: Arc<Router>) -> anyhow::Result<Arc<Doors>> {
+pub async fn serve(router: Arc<Router>) -> anyhow::Result<Arc<HttpListener>> {
     let address = router.settings.ingress_address;
     let listener = tokio::net::TcpListener::bind(address)
         .await
@@ -34,11 +35,11 @@
         let router = Arc::clone(&router);
         Box::pin(async move { open(&router).await })
     };
-    let handler: web::Handler = Arc::new(move |request| {
+    let handler: http_server::Handler = Arc::new(move |request| {
         let router = Arc::clone(&router);
         Box::pin(async move { answer(router, request).await })
     });
-    Ok(doors::serve(
+    Ok(http_listener::serve(
         listener,
         Box::new(move || view.borrow().limits),
         handler,
@@ -105,14 +106,14 @@
     /// A second arrival of an id while the first is on its way: whether that one
     /// runs is not known yet, so this one is neither run nor said not to have
     /// been.
-    fn new(router: &Arc<Router>, key: &str, id: &str) -> Result<Claim, Refusal> {
+    fn new(router: &Arc<Router>, key: &str, id: &str) -> Result<Claim, Rejection> {
         let claim = (key.to_string(), id.to_string());
         if router.claims.lock().insert(claim.clone()) {
             return Ok(Claim(Arc::clone(router), claim));
         }
         let text = "a job of this id is under way here; its own answer says what becomes of it";
-        let refusal = Refusal::not_run(409, "job-under-way", text);
-        Err(Refusal {
+        let refusal = Rejection::not_run(409, "job-under-way", text);
+        Err(Rejection {
             outcome: ExecutionOutcome::Unknown,
             ..refusal
         })
@@ -166,7 +167,7 @@
     }
 
     /// The tenant of a key that was read; an unknown key goes no further.
-    fn tenant(&self, extract: &ExtractedKey) -> Result<Option<Client>, Refusal> {
+    fn tenant(&self, extract: &ExtractedKey) -> Result<Option<Client>, Rejection> {
         let KeyField::Known(key) = &extract.tenant else {
             return Ok(None);
         };
@@ -176,7 +177,7 @@
                 tenant: tenant.clone(),
                 key,
             })),
-            None => Err(Refusal::not_run(
+            None => Err(Rejection::not_run(
                 401,
                 "unknown-key",
                 "this tenant key is not known",
@@ -190,14 +191,14 @@
     request: Request,
     id: &str,
     claim: &mut Option<Claim>,
-) -> Result<Response, Refusal> {
+) -> Result<Response, Rejection> {
     let arrived = now();
     let (head, body) = request.into_parts();
     if head.version < http::Version::HTTP_11 {
         // It knows no chunks: the end of a streamed answer would be the end of its
         // connection, and an answer that broke off would look whole.
         let text = "a job is taken in HTTP/1.1 alone";
-        return Err(Refusal::not_run(400, "http-version", text));
+        return Err(Rejection::not_run(400, "http-version", text));
     }
     let view = router.view.borrow().clone();
     let longest = router
@@ -221,7 +222,7 @@
     router.check_lease()?;
     if router.is_stopped.load(Ordering::Relaxed) {
         let text = "this router is stopping; ask another";
-        return Err(Refusal::not_run(503, "leaving", text));
+        return Err(Rejection::not_run(503, "leaving", text));
     }
     // One is held by the router itself, one by this job.
     if Arc::strong_count(&router.in_flight) > router.settings.max_requests + 1 {
@@ -229,7 +230,7 @@
             "{} jobs are under way here; ask another router",
             router.settings.max_requests
         );
-        return Err(Refusal::not_run(503, "router-full", text));
+        return Err(Rejection::not_run(503, "router-full", text));
     }
     let reader = Reader {
         view: &view,
@@ -237,7 +238,7 @@
         draw: policy::stable_hash(id.as_bytes()),
     };
     let Some(route) = reader.with(|head| view.program.match_route(head)) else {
-        return Err(Refusal::not_run(
+        return Err(Rejection::not_run(
             404,
             "no-route",
             "no route fits this method and path",
@@ -277,14 +278,14 @@
             "door {} finds no tenant key where it should stand",
             door.name
         );
-        return Err(Refusal::not_run(401, "no-key", text));
+        return Err(Rejection::not_run(401, "no-key", text));
     }
     let until = tokio::time::Instant::now() + router.settings.body_head_timeout;
     while !extract.is_complete() && !is_ended && held.len() < BODY_LIMIT_BYTES {
         match tokio::time::timeout_at(until, body.frame()).await {
             Err(_) => {
                 let text = "the part of the body that holds the key came too slowly";
-                return Err(Refusal::not_run(408, "slow-body", text));
+                return Err(Rejection::not_run(408, "slow-body", text));
             }
             Ok(None) => is_ended = true,
             Ok(Some(Ok(frame))) => {
@@ -295,7 +296,7 @@
             }
             Ok(Some(Err(error))) => {
                 let text = format!("the body can't be read: {error}");
-                return Err(Refusal::not_run(400, "broken-body", text));
+                return Err(Rejection::not_run(400, "broken-body", text));
             }
         }
         extract = reader.extract(route, &held, is_ended);
@@ -340,7 +341,7 @@
         _ if is_past_cap => return unkeyed(router, job, &parts, &mut carried, tenant).await,
         (None, _) => {
             let text = format!("door {} finds no tenant key in this body", door.name);
-            return Err(Refusal::not_run(401, "no-key", text));
+            return Err(Rejection::not_run(401, "no-key", text));
         }
         _ => {
             let place = match (&rule.target, &door.model_source) {
@@ -350,7 +351,7 @@
                 _ => "where the door looks for it".to_string(),
             };
             let text = format!("no model is to be found: {place}");
-            return Err(Refusal::not_run(400, "no-model", text));
+            return Err(Rejection::not_run(400, "no-model", text));
         }
     };
     let terms = view
@@ -380,8 +381,8 @@
     route_keyed(router, job, &parts, carried, &keyed).await
 }
 
-fn long_body(longest: usize) -> Refusal {
-    Refusal::not_run(
+fn long_body(longest: usize) -> Rejection {
+    Rejection::not_run(
         413,
         "long-body",
         format!("a body holds {longest} bytes at the most"),
@@ -410,12 +411,12 @@
     body: &mut Body,
     held: &mut BytesMut,
     most: usize,
-) -> Result<bool, Refusal> {
+) -> Result<bool, Rejection> {
     let until = tokio::time::Instant::now() + router.settings.body_head_timeout;
     while held.len() < most {
         match tokio::time::timeout_at(until, body.frame()).await {
             Err(_) => {
-                return Err(Refusal::not_run(
+                return Err(Rejection::not_run(
                     408,
                     "slow-body",
                     "the body came too slowly",
@@ -432,7 +433,7 @@
             }
             Ok(Some(Err(error))) => {
                 let text = format!("the body can't be read: {error}");
-                return Err(Refusal::not_run(400, "broken-body", text));
+                return Err(Rejection::not_run(400, "broken-body", text));
             }
         }
     }
@@ -440,7 +441,7 @@
 }
 
 /// What is left of a mapping within a route's own homes.
-fn within(view: &View, mapping: Mapping, homes: &[String]) -> Result<Mapping, Refusal> {
+fn within(view: &View, mapping: Mapping, homes: &[String]) -> Result<Mapping, Rejection> {
     if homes.is_empty() {
         return Ok(mapping);
     }
@@ -458,7 +459,7 @@
         .collect();
     if cells.is_empty() {
         let text = "no engine stands where this route and this tenant may be served";
-        return Err(Refusal::not_run(503, "no-place", text));
+        return Err(Rejection::not_run(503, "no-place", text));
     }
     Ok(Mapping {
         regions,
@@ -475,14 +476,14 @@
     parts: &RequestParts,
     carried: &mut RequestBody,
     tenant: Option<String>,
-) -> Result<Response, Refusal> {
+) -> Result<Response, Rejection> {
     router.metrics.increment("unkeyed");
     match forward::forward(router, &mut job, parts, carried, tenant.as_deref(), None).await {
         ForwardOutcome::Response(response) => Ok(response),
         ForwardOutcome::Refused(refusal) => Err(refusal),
         ForwardOutcome::Mapping(_) | ForwardOutcome::Unreachable => {
             let text = "its key is not to be found early enough, and no directory node may see it";
-            Err(Refusal::not_run(503, "no-directory", text).retry(2_000))
+            Err(Rejection::not_run(503, "no-directory", text).retry(2_000))
         }
     }
 }
@@ -493,7 +494,7 @@
     parts: &RequestParts,
     mut carried: RequestBody,
     keyed: &Keyed,
-) -> Result<Response, Refusal> {
+) -> Result<Response, Rejection> {
     let key = residency::routing_key(&keyed.tenant, &keyed.service);
     for _ in 0..3 {
         let mapping = match known(router, &key, keyed).await {
@@ -528,7 +529,7 @@
         }
     }
     let text = "where this job may go keeps changing";
-    Err(Refusal::not_run(503, "mapping-void", text))
+    Err(Rejection::not_run(503, "mapping-void", text))
 }
 
 /// What the two layers hold. A stale hit is used at once and refreshed behind.
@@ -603,7 +604,7 @@
     carried: &mut RequestBody,
     key: &str,
     keyed: &Keyed,
-) -> Result<Missed, Refusal> {
+) -> Result<Missed, Rejection> {
     let permit = loop {
         match router.cache_tiers.join_or_lead(key) {
             Ok(permit) => break permit,
@@ -621,13 +622,13 @@
                     Ok(Err(_)) => {}
                     Err(_) => {
                         let text = "the mapping of this key did not come in time";
-                        return Err(Refusal::not_run(503, "no-mapping", text));
+                        return Err(Rejection::not_run(503, "no-mapping", text));
                     }
                 }
             }
         }
         if now() >= parts.deadline {
-            return Err(Refusal::not_run(
+            return Err(Rejection::not_run(
                 504,
                 "deadline",
                 "the job's deadline passed",
@@ -663,7 +664,7 @@
     job: &RequestStateMachine,
     permit: &LookupPermit,
     keyed: &Keyed,
-) -> Result<Missed, Refusal> {
+) -> Result<Missed, Rejection> {
     router.metrics.increment("key-only");
     let region = &router.settings.region;
     match router
@@ -676,14 +677,14 @@
             permit.publish(&mapping);
             Ok(Missed::Mapping(mapping))
         }
-        Answer::None { code, text } => Err(Refusal {
+        Answer::None { code, text } => Err(Rejection {
             outcome: job.outcome(),
-            ..web::no_place(&code.0, text.0)
+            ..rejection::lookup_rejection(&code.0, text.0)
         }),
         Answer::Later => {
             let text = "no directory node can answer for this key now";
-            let refusal = Refusal::not_run(503, "no-directory", text);
-            Err(Refusal {
+            let refusal = Rejection::not_run(503, "no-directory", text);
+            Err(Rejection {
                 outcome: job.outcome(),
                 ..refusal
             })
@@ -692,7 +693,7 @@
 }
 
 /// Which routers a client may use, the nearest first.
-pub fn lookup_routers(router: &Router, request: &Request) -> Result<Response, Refusal> {
+pub fn lookup_routers(router: &Router, request: &Request) -> Result<Response, Rejection> {
     router.check_lease()?;
     let view = router.view.borrow().clone();
     let headers = request.headers();
@@ -700,18 +701,19 @@
     let bearer = text("authorization").and_then(|value| value.strip_prefix("Bearer "));
     let Some(key) = text("x-tenant-key").or(bearer) else {
         let text = "the tenant key stands in x-tenant-key or as a bearer token";
-        return Err(Refusal::not_run(401, "no-key", text));
+        return Err(Rejection::not_run(401, "no-key", text));
     };
     let Some(tenant) = view.keys.get(&policy::sha256_hex(key)) else {
-        return Err(Refusal::not_run(
+        return Err(Rejection::not_run(
             401,
             "unknown-key",
             "this tenant key is not known",
         ));
     };
-    let zone = web::query(request.uri(), "zone").unwrap_or(router.settings.zone.clone());
+    let zone =
+        http_server::query_parameter(request.uri(), "zone").unwrap_or(router.settings.zone.clone());
     let Some(region) = view.zones.get(&zone) else {
-        return Err(Refusal::not_run(
+        return Err(Rejection::not_run(
             400,
             "unknown-zone",
             format!("there is no zone {zone}"),
@@ -739,7 +741,7 @@
     fronts.sort_by_key(|(far, home, draw, _)| (*far, *home, *draw));
     if fronts.is_empty() {
         let text = "no router that this client may use is in sight";
-        return Err(Refusal::not_run(503, "no-router", text).retry(2_000));
+        return Err(Rejection::not_run(503, "no-router", text).retry(2_000));
     }
     let routers: Vec<simd_json::OwnedValue> = fronts
         .iter()
@@ -752,7 +754,7 @@
             })
         })
         .collect();
-    Ok(web::json(
+    Ok(http_server::json(
         200,
         &simd_json::json!({ "zone": zone, "routers": routers }),
     ))
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -27,8 +27,9 @@
 use std::time::Duration;
 use telemetry::metrics::Metrics;
 use tokio::sync::watch;
+use transport::http_server;
 use transport::now;
-use transport::web::{self, Refusal};
+use transport::rejection::Rejection;
 
 /// How long a job may wait for room at an engine, at the most.
 pub const ENGINE_SLOT_WAIT_MS: u64 = 3_000;
@@ -103,7 +104,7 @@
     }
 
     /// Whether new work may be taken and dispatched now.
-    pub fn check_lease(&self) -> Result<(), Refusal> {
+    pub fn check_lease(&self) -> Result<(), Rejection> {
         let lease = self.lease.load(Ordering::Relaxed);
         // One that never had a lease knows nothing that was in force.
         let lease_grace = if lease > 0 {
@@ -114,10 +115,10 @@
         if now() >= lease + lease_grace {
             if lease == 0 {
                 let text = "this router has just begun, and waits for its first lease";
-                return Err(Refusal::not_run(503, "starting", text).retry(1_000));
+                return Err(Rejection::not_run(503, "starting", text).retry(1_000));
             }
             let text = "this router has no recent lease; ask another";
-            return Err(Refusal::not_run(503, "no-lease", text));
+            return Err(Rejection::not_run(503, "no-lease", text));
         }
         Ok(())
     }
@@ -171,10 +172,14 @@
             permit: Arc::new(move |mapping| match router.upgrade() {
                 Some(router) if router.cache_tiers.is_void(mapping) => {
                     let text = "the mapping changed meanwhile";
-                    Err(Refusal::not_run(503, "mapping-void", text))
+                    Err(Rejection::not_run(503, "mapping-void", text))
                 }
                 Some(router) => router.check_lease(),
-                None => Err(Refusal::not_run(503, "leaving", "this router is stopping")),
+                None => Err(Rejection::not_run(
+                    503,
+                    "leaving",
+                    "this router is stopping",
+                )),
             }),
             options,
             connections,
@@ -214,7 +219,7 @@
     let ingress = ingress::serve(Arc::clone(&router)).await?;
     let mut running = Vec::new();
     for server in servers {
-        running.push(web::serve(
+        running.push(http_server::serve(
             server.address,
             1 << 16,
             (server.handler)(Arc::clone(&router)),
@@ -222,20 +227,20 @@
     }
     let operator_api = {
         let (router, address) = (Arc::clone(&router), router.settings.operator_address);
-        let handler: web::Handler = Arc::new(move |request| {
+        let handler: http_server::Handler = Arc::new(move |request| {
             let response = operator_response(&router, &request);
             Box::pin(async move { response })
         });
-        web::serve(address, 1 << 16, handler)?
+        http_server::serve(address, 1 << 16, handler)?
     };
     log::info!("router is up at {}", router.settings.ingress_address);
-    transport::wait_for_end().await?;
+    transport::shutdown_signal().await?;
     // Callers that were told of this router before still come for a while;
     // those who ask from now on are told of others.
     log::info!("leaving");
     router.is_draining.store(true, Ordering::Relaxed);
     router.quota.urgent.notify_one();
-    ingress.leave();
+    ingress.start_draining();
     tokio::time::sleep(router.settings.drain_period).await;
     log::info!("stopping: no new jobs are taken");
     router.is_stopped.store(true, Ordering::Relaxed);
@@ -246,12 +251,12 @@
     let left = Arc::strong_count(&router.in_flight) - 1;
     log::info!(left = left as u64; "stopped");
     // Streams past the bound are cut off, visibly.
-    ingress.shut();
+    ingress.shut_down();
     drop(tokio::time::timeout(Duration::from_millis(100), operator_api.close()).await);
     Ok(())
 }
 
-fn operator_response(router: &Router, request: &web::Request) -> web::Response {
+fn operator_response(router: &Router, request: &http_server::Request) -> http_server::Response {
     let view = router.view.borrow().clone();
     let is_well = router.check_lease().is_ok();
     match (request.method().as_str(), request.uri().path()) {
@@ -270,13 +275,13 @@
                 "cached_share": router.cache_tiers.sizes().1,
                 "engines": router.dispatcher.engine_tracker.to_json(view.program.set_points.target_utilization),
             });
-            web::json(if is_well { 200 } else { 503 }, &value)
+            http_server::json(if is_well { 200 } else { 503 }, &value)
         }
-        ("GET", "/counters") => web::json(200, &router.metrics.to_json()),
-        ("GET", "/traffic") => web::json(200, &telemetry::traffic::to_json()),
+        ("GET", "/counters") => http_server::json(200, &router.metrics.to_json()),
+        ("GET", "/traffic") => http_server::json(200, &telemetry::traffic::to_json()),
         (_, path) => {
             let text = format!("there is no {path} for this method");
-            web::json(
+            http_server::json(
                 404,
                 &simd_json::json!({ "code": "no-such-page", "text": text }),
             )
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -229,7 +229,7 @@
 }
 
 async fn serve(router: Arc<Router>, mut stream: TcpStream) -> anyhow::Result<()> {
-    let (kind, name) = link::greet(&mut stream).await?;
+    let (kind, name) = link::accept_handshake(&mut stream).await?;
     anyhow::ensure!(
         kind == Kind::Neighbour,
         "{name} takes this for a directory node"
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -210,11 +210,11 @@
                 };
                 let demand = router.quota.lease_demands(&boot.name, number);
                 let frame = Frame::Beat { front, demand };
-                tokio::time::timeout(link::PATIENCE, link::send(&mut writer, &frame)).await??;
+                tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(&mut writer, &frame)).await??;
             }
             frame = queue.recv() => {
                 let Some(frame) = frame else { anyhow::bail!("the way out was closed") };
-                tokio::time::timeout(link::PATIENCE, link::send(&mut writer, &frame)).await??;
+                tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(&mut writer, &frame)).await??;
             }
             frame = incoming.recv() => {
                 let frame = frame.unwrap_or(Ok(None))?;
--- a/rushctl/src/main.rs
+++ b/rushctl/src/main.rs
@@ -9,7 +9,7 @@
 use simd_json::{json, OwnedValue};
 use std::net::SocketAddr;
 use std::time::Duration;
-use transport::web;
+use transport::http_client;
 
 /// One command: its words, what it wants, what it does.
 struct Command {
@@ -213,7 +213,9 @@
         for desk in &self.desks {
             let headers = [("content-type", "application/json")];
             let patience = Duration::from_secs(5);
-            match web::ask(*desk, method, target, &headers, body.into(), patience).await {
+            match http_client::send_request(*desk, method, target, &headers, body.into(), patience)
+                .await
+            {
                 Ok((status, bytes)) => {
                     let text = String::from_utf8_lossy(&bytes).into_owned();
                     let value = residency::parse_json(&text).map_err(|error| {
--- a/testbed/src/bin/fleet.rs
+++ b/testbed/src/bin/fleet.rs
@@ -25,7 +25,7 @@
             tokio::select! {
                 // Asked first, so that it listens before anything is started.
                 biased;
-                end = transport::wait_for_end() => Ok(end?),
+                end = transport::shutdown_signal() => Ok(end?),
                 failed = keep_up(&mut fleet, &folder) => failed.map(|never| match never {}),
             }
         })
--- a/testbed/src/caller.rs
+++ b/testbed/src/caller.rs
@@ -63,7 +63,7 @@
         .method(call.method.as_str())
         .uri(&call.target)
         .header("host", door.to_string())
-        .header(transport::web::JOB, &call.id);
+        .header(transport::rejection::REQUEST_ID_HEADER, &call.id);
     for (name, value) in &call.headers {
         request = request.header(name, value);
     }
@@ -80,7 +80,7 @@
             .to_string()
     };
     let (outcome, is_warm) = (
-        header(transport::web::OUTCOME),
+        header(transport::rejection::OUTCOME_HEADER),
         header("x-prefix") == "warm",
     );
     let retry_after = header("retry-after").parse().ok();
--- a/testbed/src/engine.rs
+++ b/testbed/src/engine.rs
@@ -19,7 +19,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, Semaphore};
-use transport::web::{self, Request, Response};
+use transport::http_server::{self, Request, Response};
+use transport::rejection;
 
 pub struct Settings {
     pub name: String,
@@ -50,7 +51,7 @@
 
 const WARM_KEPT: usize = 64;
 
-pub fn serve(settings: Settings) -> anyhow::Result<dropshot::HttpServer<web::Handler>> {
+pub fn serve(settings: Settings) -> anyhow::Result<dropshot::HttpServer<http_server::Handler>> {
     let engine = Arc::new(Engine {
         journal: Journal::open(&settings.journal)?,
         running: AtomicU32::new(0),
@@ -68,7 +69,7 @@
         "engine": engine.settings.name.clone(), "job": "", "event": "started",
         "cold": engine.settings.is_cold, "slots": engine.settings.slots, "run": 0,
     }));
-    let handler: web::Handler = Arc::new(move |request| {
+    let handler: http_server::Handler = Arc::new(move |request| {
         let engine = Arc::clone(&engine);
         Box::pin(async move {
             match request.uri().path() {
@@ -77,7 +78,7 @@
             }
         })
     });
-    web::serve(address, 64 << 20, handler)
+    http_server::serve(address, 64 << 20, handler)
 }
 
 fn vitals(engine: &Arc<Engine>) -> Response {
@@ -124,7 +125,7 @@
 }
 
 async fn job(engine: &Arc<Engine>, request: Request) -> Response {
-    let id = header(&request, web::JOB);
+    let id = header(&request, rejection::REQUEST_ID_HEADER);
     let note = |event: &str, run: u64| {
         engine.journal.note(json!({
             "engine": engine.settings.name.clone(), "job": id.clone(), "event": event, "run": run,
--- a/testbed/src/fleet/client.rs
+++ b/testbed/src/fleet/client.rs
@@ -5,7 +5,7 @@
 use simd_json::OwnedValue;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use transport::web;
+use transport::http_client;
 
 /// Asks a desk; anything but 200 is an error that says the answer.
 pub async fn ask(
@@ -20,7 +20,8 @@
         body.encode()
     };
     let patience = Duration::from_secs(12);
-    let (status, bytes) = web::ask(desk, method, target, &[], text.into(), patience).await?;
+    let (status, bytes) =
+        http_client::send_request(desk, method, target, &[], text.into(), patience).await?;
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let value = residency::parse_json(&text).map_err(|text| anyhow!(text))?;
     // A process that is not well says so with 503 and its vitals all the same.
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -14,7 +14,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
-use transport::{link, now, web};
+use transport::http_server;
+use transport::{link, now};
 
 const BEAT_MS: u64 = 350;
 /// Without a lease from a node for this long, the next one is tried.
@@ -250,7 +251,8 @@
                     demand,
                 }
             };
-            tokio::time::timeout(link::PATIENCE, link::send(&mut writer, &frame)).await??;
+            tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(&mut writer, &frame))
+                .await??;
             ask(&mut hollow.lock(), settings.spoken);
         }
         #[allow(unreachable_code)]
@@ -307,11 +309,11 @@
         ));
     }
     let known = all.clone();
-    let handler: web::Handler = Arc::new(move |request| {
+    let handler: http_server::Handler = Arc::new(move |request| {
         let response = answer(&known, &again, &request);
         Box::pin(async move { response })
     });
-    let _desk = web::serve(settings.desk, 1 << 16, handler)?;
+    let _desk = http_server::serve(settings.desk, 1 << 16, handler)?;
     let parent = std::thread::spawn(|| {
         // Nothing is ever written there: it ends with whoever started this.
         drop(std::io::copy(&mut std::io::stdin(), &mut std::io::sink()));
@@ -322,7 +324,7 @@
         }
     };
     tokio::select! {
-        ended = transport::wait_for_end() => Ok(ended?),
+        ended = transport::shutdown_signal() => Ok(ended?),
         () = gone => Ok(()),
     }
 }
@@ -330,11 +332,13 @@
 fn answer(
     all: &[Arc<Mutex<Hollow>>],
     again: &watch::Sender<u64>,
-    request: &web::Request,
-) -> web::Response {
-    let number = |name: &str| web::query(request.uri(), name).and_then(|text| text.parse().ok());
+    request: &http_server::Request,
+) -> http_server::Response {
+    let number = |name: &str| {
+        http_server::query_parameter(request.uri(), name).and_then(|text| text.parse().ok())
+    };
     match (request.method().as_str(), request.uri().path()) {
-        ("GET", "/traffic") => web::json(200, &telemetry::traffic::to_json()),
+        ("GET", "/traffic") => http_server::json(200, &telemetry::traffic::to_json()),
         ("GET", "/figures") => {
             let (mut lease_valid, mut sessions, mut leases, mut beats) = (0u64, 0u64, 0u64, 0u64);
             let (mut lowest, mut known, mut engines) = (u64::MAX, u64::MAX, u64::MAX);
@@ -354,7 +358,7 @@
                 "leases": leases, "beats": beats, "lowest_epoch": lowest,
                 "fewest_known": known, "fewest_engines": engines,
             });
-            web::json(200, &value)
+            http_server::json(200, &value)
         }
         // How many have this epoch, and since when the last of them.
         ("GET", "/since") => {
@@ -366,21 +370,22 @@
             };
             let times: Vec<f64> = all.iter().filter_map(since).collect();
             let last = times.iter().copied().fold(0.0, f64::max);
-            web::json(200, &json!({ "there": times.len() as u64, "last": last }))
+            http_server::json(200, &json!({ "there": times.len() as u64, "last": last }))
         }
         // Who has a lease that came after this time, and when the last one came.
         ("GET", "/lease_valid") => {
-            let after = web::query(request.uri(), "after").and_then(|text| text.parse().ok());
+            let after = http_server::query_parameter(request.uri(), "after")
+                .and_then(|text| text.parse().ok());
             let after: f64 = after.unwrap_or(0.0);
             let times: Vec<f64> = all.iter().map(|hollow| hollow.lock().lease_valid).collect();
             let there = times.iter().filter(|at| **at > after).count() as u64;
-            web::json(200, &json!({ "there": there }))
+            http_server::json(200, &json!({ "there": there }))
         }
         // All sessions end at once, and begin again.
         ("POST", "/again") => {
             again.send_modify(|count| *count += 1);
-            web::json(200, &json!({}))
+            http_server::json(200, &json!({}))
         }
-        (_, path) => web::json(404, &json!({ "text": format!("there is no {path}") })),
+        (_, path) => http_server::json(404, &json!({ "text": format!("there is no {path}") })),
     }
 }
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -92,8 +92,15 @@
             let target = format!("/where?zone={zone}");
             let headers = [("x-tenant-key", key.as_str())];
             let patience = Duration::from_secs(1);
-            let answer =
-                transport::web::ask(door, "GET", &target, &headers, Vec::new(), patience).await;
+            let answer = transport::http_client::send_request(
+                door,
+                "GET",
+                &target,
+                &headers,
+                Vec::new(),
+                patience,
+            )
+            .await;
             let Ok((200, mut bytes)) = answer else {
                 continue;
             };
@@ -324,9 +331,15 @@
             asked.spawn(async move {
                 loop {
                     let patience = Duration::from_millis(500);
-                    let answer =
-                        transport::web::ask(desk, "GET", "/vitals", &[], Vec::new(), patience)
-                            .await;
+                    let answer = transport::http_client::send_request(
+                        desk,
+                        "GET",
+                        "/vitals",
+                        &[],
+                        Vec::new(),
+                        patience,
+                    )
+                    .await;
                     // A router that can't be asked, or is not well, dispatches
                     // nothing.
                     let Ok((200, mut bytes)) = answer else {
--- a/testbed/tests/cut_leader.rs
+++ b/testbed/tests/cut_leader.rs
@@ -12,7 +12,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use testbed::fleet::{wait, Fleet, Kind, Process};
-use transport::{link, web};
+use transport::http_client;
+use transport::link;
 
 const ANA: &str = "ana-key-0001";
 
@@ -29,7 +30,8 @@
         body.encode()
     };
     let patience = Duration::from_secs(12);
-    let (status, bytes) = web::ask(desk, method, path, &[], text.into(), patience).await?;
+    let (status, bytes) =
+        http_client::send_request(desk, method, path, &[], text.into(), patience).await?;
     let text = String::from_utf8_lossy(&bytes).into_owned();
     Ok((
         status,
--- a/testbed/tests/gate.rs
+++ b/testbed/tests/gate.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
-use transport::web::Refusal;
+use transport::rejection::Rejection;
 
 const VITALS: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 const LINE: &str = "{\"running\":0,\"queue\":0,\"slots\":8,\"warm\":true,\"draining\":false}\n";
@@ -190,7 +190,7 @@
                     if looked.fetch_add(1, Ordering::SeqCst) + 1 == at {
                         change(&changing, address);
                     }
-                    Ok::<(), Refusal>(())
+                    Ok::<(), Rejection>(())
                 }),
                 options: Default::default(),
                 connections: Default::default(),
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -97,7 +97,7 @@
     }
 
     async fn serve(&self, mut stream: TcpStream) -> anyhow::Result<()> {
-        match link::greet(&mut stream).await?.0 {
+        match link::accept_handshake(&mut stream).await?.0 {
             Kind::Router => self.session(stream).await,
             Kind::Job => self.job(stream).await,
             kind => anyhow::bail!("{kind:?} has no place here"),
@@ -371,7 +371,7 @@
         ];
         let target = format!("/app/{route}");
         // Cut visibly, or broken off.
-        let asked = transport::web::ask(
+        let asked = transport::http_client::send_request(
             self.door,
             "POST",
             &target,
--- a/testbed/tests/streams.rs
+++ b/testbed/tests/streams.rs
@@ -86,7 +86,8 @@
     let headers = [("x-tenant-key", "ana-key-0001"), ("x-model", "writer")];
     let ask = async || {
         let body = br#"{"prompt":"x"}"#.to_vec();
-        transport::web::ask(door, "POST", "/app/write", &headers, body, PATIENCE).await
+        transport::http_client::send_request(door, "POST", "/app/write", &headers, body, PATIENCE)
+            .await
     };
     for way in ["straight", "through a directory node"] {
         if way != "straight" {
--- a/transport/src/doors.rs
+++ b/transport/src/http_listener.rs
@@ -2,8 +2,8 @@
 //! through them. What a caller may send, and how long it may take, is bounded by
 //! limits that are read anew for each connection.
 
+use crate::http_server::{Handler, Request, Response};
 use crate::now;
-use crate::web::{Handler, Request, Response};
 use dropshot::Body;
 use hyper::body::{Frame, Incoming, SizeHint};
 use hyper_util::rt::TokioIo;
@@ -44,7 +44,7 @@
     }
 }
 
-pub struct Doors {
+pub struct HttpListener {
     stages: Mutex<HashMap<u64, Arc<Stage>>>,
     next: AtomicU64,
     /// Answers say that the connection closes after them.
@@ -152,8 +152,8 @@
     limits: Box<dyn Fn() -> RequestLimits + Send + Sync>,
     handler: Handler,
     opened: impl Future<Output = ()> + Send + 'static,
-) -> Arc<Doors> {
-    let doors = Arc::new(Doors {
+) -> Arc<HttpListener> {
+    let doors = Arc::new(HttpListener {
         stages: Mutex::default(),
         next: AtomicU64::new(0),
         is_leaving: AtomicBool::new(false),
@@ -169,15 +169,15 @@
     doors
 }
 
-impl Doors {
+impl HttpListener {
     /// From now on answers say that their connection closes.
-    pub fn leave(&self) {
+    pub fn start_draining(&self) {
         self.is_leaving.store(true, Ordering::Relaxed);
     }
 
     /// Takes no more connections, and ends those that lie idle.
-    pub fn shut(&self) {
-        self.leave();
+    pub fn shut_down(&self) {
+        self.start_draining();
         self.shut.notify_one();
         let is_idle = |stage: &&Arc<Stage>| stage.at.load(Ordering::Relaxed) == IDLE;
         self.stages
@@ -187,7 +187,7 @@
             .for_each(|stage| stage.end.notify_one());
     }
 
-    async fn accept(self: Arc<Doors>, listener: TcpListener, handler: Handler) {
+    async fn accept(self: Arc<HttpListener>, listener: TcpListener, handler: Handler) {
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
@@ -206,7 +206,7 @@
         }
     }
 
-    async fn carry(self: Arc<Doors>, stream: TcpStream, from: SocketAddr, handler: Handler) {
+    async fn carry(self: Arc<HttpListener>, stream: TcpStream, from: SocketAddr, handler: Handler) {
         drop(stream.set_nodelay(true));
         let stage = Arc::new(Stage::default());
         stage.go(IDLE);
@@ -260,7 +260,7 @@
     }
 
     /// Ends connections that took too long over a head, or lay idle too long.
-    async fn look_through(self: Arc<Doors>) {
+    async fn look_through(self: Arc<HttpListener>) {
         loop {
             tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
             let (limits, at) = ((self.limits)(), now());
--- a/transport/src/lib.rs
+++ b/transport/src/lib.rs
@@ -1,9 +1,11 @@
 //! What the daemons share at their edge: the HTTP listener and client, framed
 //! links, and the clock.
 
-pub mod doors;
+pub mod http_client;
+pub mod http_listener;
+pub mod http_server;
 pub mod link;
-pub mod web;
+pub mod rejection;
 
 use nix::time::{clock_gettime, ClockId};
 use std::sync::OnceLock;
@@ -22,7 +24,7 @@
 }
 
 /// Waits until the process is asked to stop.
-pub async fn wait_for_end() -> std::io::Result<()> {
+pub async fn shutdown_signal() -> std::io::Result<()> {
     use tokio::signal::unix::{signal, SignalKind};
     let (mut term, mut int) = (
         signal(SignalKind::terminate())?,
--- a/transport/src/link.rs
+++ b/transport/src/link.rs
@@ -9,10 +9,10 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 /// How long connecting may take, and how long a first frame.
-pub const PATIENCE: Duration = Duration::from_millis(1_000);
+pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long a connection may take to come up. Invariant: longer than a way there
 /// and back between any two regions; a machine without power says nothing at all.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(450);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(450);
 
 /// Dials out from `source`'s address, so that a cut between two machines is
 /// a cut in both directions.
@@ -24,7 +24,7 @@
     if source.is_ipv4() == to.is_ipv4() && !source.ip().is_unspecified() {
         socket.bind(SocketAddr::new(source.ip(), 0))?;
     }
-    let stream = tokio::time::timeout(CONNECT_PATIENCE, socket.connect(to))
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, socket.connect(to))
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
@@ -110,9 +110,9 @@
 
 /// Reads the hello of an accepted connection. Another epoch is refused in
 /// words, and the reason returned for the log.
-pub async fn greet(stream: &mut TcpStream) -> anyhow::Result<(Kind, String)> {
+pub async fn accept_handshake(stream: &mut TcpStream) -> anyhow::Result<(Kind, String)> {
     stream.set_nodelay(true)?;
-    let frame = tokio::time::timeout(PATIENCE * 5, receive(stream, protocol::HELLO_CAP))
+    let frame = tokio::time::timeout(HANDSHAKE_TIMEOUT * 5, receive(stream, protocol::HELLO_CAP))
         .await
         .map_err(|_| anyhow!("no hello came"))??;
     match frame {
--- a/transport/tests/link.rs
+++ b/transport/tests/link.rs
@@ -132,7 +132,7 @@
             let (mut far, _) = listener.accept().await.expect("accepted");
             near.write_all(&bytes).await.expect("sent");
             near.shutdown().await.expect("shut");
-            let greeted = link::greet(&mut far).await;
+            let greeted = link::accept_handshake(&mut far).await;
             drop(far);
             let told = tokio::time::timeout(PATIENCE, link::receive(&mut near, 4_096)).await;
             let told = told.expect("an end");
@@ -160,16 +160,19 @@
             drop(stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n").await);
             let piece = vec![b' '; 1 << 16];
             let mut sent = 0usize;
-            while sent < transport::web::ANSWER_CAP * 4 && stream.write_all(&piece).await.is_ok() {
+            while sent < transport::http_client::MAX_RESPONSE_BYTES * 4
+                && stream.write_all(&piece).await.is_ok()
+            {
                 sent += piece.len();
             }
             sent
         };
-        let asking = transport::web::ask(address, "GET", "/", &[], Vec::new(), PATIENCE);
+        let asking =
+            transport::http_client::send_request(address, "GET", "/", &[], Vec::new(), PATIENCE);
         let (sent, answer) = tokio::join!(answering, asking);
         assert!(answer.is_err(), "it read {sent} bytes");
         assert!(
-            sent < transport::web::ANSWER_CAP * 2,
+            sent < transport::http_client::MAX_RESPONSE_BYTES * 2,
             "{sent} bytes were taken"
         );
     });
