--- a/directory/src/driver/mod.rs
+++ b/directory/src/driver/mod.rs
@@ -154,7 +154,7 @@
         if !self.send(DriverCommand::Request(asked, sender)) {
             return PeerResponse::Busy;
         }
-        receiver.await.unwrap_or(PeerResponse::Lost)
+        receiver.await.unwrap_or(PeerResponse::LeadershipLost)
     }
 
     /// Founds a cluster with this node as its one voter.
@@ -188,9 +188,9 @@
         deadline_ms: u64,
         only_term: Option<Term>,
     ) -> PeerResponse {
-        let mut reply = PeerResponse::Lost;
+        let mut reply = PeerResponse::LeadershipLost;
         while now() < deadline_ms {
-            let question = PeerRequest::Submit(proposal.clone());
+            let question = PeerRequest::Propose(proposal.clone());
             let attempt_deadline_ms = deadline_ms.min(now() + REQUEST_TIMEOUT_MS);
             let asked = LocalRequest {
                 question,
@@ -199,9 +199,9 @@
             };
             let left = Duration::from_millis(deadline_ms.saturating_sub(now()));
             let answer = tokio::time::timeout(left, self.send_request(asked)).await;
-            reply = answer.unwrap_or(PeerResponse::Lost);
+            reply = answer.unwrap_or(PeerResponse::LeadershipLost);
             let is_deposed = only_term.is_some() && reply == PeerResponse::NotLeader;
-            if is_deposed || matches!(reply, PeerResponse::Submitted(_)) {
+            if is_deposed || matches!(reply, PeerResponse::Proposed(_)) {
                 return reply;
             }
             tokio::time::sleep(transport::jitter(120)).await;
@@ -285,8 +285,8 @@
         let mut led_at = now();
         while tokio::time::Instant::now() < deadline_ms && now() < led_at + NO_LEADER_WAIT_MS {
             if matches!(
-                self.ask(PeerRequest::Leave { identity }).await,
-                PeerResponse::Confirmed { .. }
+                self.ask(PeerRequest::PrepareToStop { identity }).await,
+                PeerResponse::ReadIndex { .. }
             ) {
                 return;
             }
--- a/directory/src/driver/thread/mod.rs
+++ b/directory/src/driver/thread/mod.rs
@@ -15,7 +15,7 @@
 use consensus::{EntryPayload, Member, NodeId, Term};
 use parking_lot::RwLock;
 use placement::{QuotaLeaseAllocator, QuotaTolerance, TokenAllocator};
-use protocol::{Frame, FrontShares, PeerResponse};
+use protocol::{Frame, PeerResponse, RouterGrants};
 use residency::{Event, Proposal, State, View};
 use status::describe;
 use std::collections::HashMap;
@@ -94,9 +94,9 @@
     sent_requests: HashMap<u64, Sent>,
     leader_clock: LeaderClock,
     /// Confirmed by the leader; answered once this index is applied here.
-    confirmed_reads: Vec<(u64, Waiter, Vec<FrontShares>)>,
+    confirmed_reads: Vec<(u64, Waiter, Vec<RouterGrants>)>,
     /// Shares that go out with a confirmation under way, by its token.
-    granted_shares: HashMap<u64, Vec<FrontShares>>,
+    granted_shares: HashMap<u64, Vec<RouterGrants>>,
     grants: QuotaGrants,
     /// The term that `grants` belongs to: another leader lends anew.
     grants_term: Term,
@@ -241,7 +241,7 @@
                     asked_at_ms: sent.asked_at_ms,
                 };
                 match reply {
-                    PeerResponse::Confirmed { index, shares } => {
+                    PeerResponse::ReadIndex { index, shares } => {
                         self.confirmed_reads.push((index, waiter, shares));
                         self.complete_reads();
                     }
@@ -265,7 +265,7 @@
             }
             DriverCommand::Subscribe(session) => {
                 let state = self.state.read();
-                let picture = Frame::Picture {
+                let picture = Frame::Snapshot {
                     epoch: state.epoch(),
                     events: state.view.snapshot(),
                 };
@@ -297,13 +297,13 @@
         log::warn!("the disk takes writes again; this node goes on from what it holds");
         self.confirmed_at_ms.store(0, Ordering::Relaxed);
         for (_, waiter) in std::mem::take(&mut self.waiters) {
-            self.respond(waiter, PeerResponse::Lost);
+            self.respond(waiter, PeerResponse::LeadershipLost);
         }
         for (_, waiter, _) in std::mem::take(&mut self.confirmed_reads) {
-            self.respond(waiter, PeerResponse::Lost);
+            self.respond(waiter, PeerResponse::LeadershipLost);
         }
         for (_, sent) in std::mem::take(&mut self.sent_requests) {
-            drop(sent.reply.send(PeerResponse::Lost));
+            drop(sent.reply.send(PeerResponse::LeadershipLost));
         }
         self.granted_shares.clear();
         self.node = node;
@@ -337,7 +337,7 @@
                         EntryPayload::Noop => None,
                         EntryPayload::Membership(members) => {
                             log::info!(index = entry.index; "{}", describe(members));
-                            Some(PeerResponse::Changed)
+                            Some(PeerResponse::MembershipChanged)
                         }
                         EntryPayload::Command(bytes) => Some(self.apply(entry.index, bytes)),
                     };
@@ -367,9 +367,9 @@
                             RequestError::NotLeader => PeerResponse::NotLeader,
                             RequestError::Busy => PeerResponse::Busy,
                             RequestError::InvalidMembershipChange(error) => {
-                                PeerResponse::Unfit(residency::Name(error.to_string()))
+                                PeerResponse::Rejected(residency::Name(error.to_string()))
                             }
-                            RequestError::LeadershipLost => PeerResponse::Lost,
+                            RequestError::LeadershipLost => PeerResponse::LeadershipLost,
                         };
                         self.respond(waiter, reply);
                     }
@@ -392,7 +392,7 @@
             self.publish_events(prior, index, events);
             self.view.send_replace(view);
         }
-        PeerResponse::Submitted(outcome)
+        PeerResponse::Proposed(outcome)
     }
 
     fn publish_events(&mut self, prior: u64, epoch: u64, events: Vec<Event>) {
--- a/directory/src/driver/thread/requests.rs
+++ b/directory/src/driver/thread/requests.rs
@@ -5,7 +5,7 @@
 use crate::leader_clock::is_valid;
 use consensus::codec::to_bytes;
 use consensus::node::{Input, Role};
-use protocol::{Frame, FrontDemand, FrontShares, PeerRequest, PeerResponse};
+use protocol::{Frame, PeerRequest, PeerResponse, RouterDemand, RouterGrants};
 use residency::Outcome;
 use std::sync::atomic::Ordering;
 use tokio::sync::oneshot;
@@ -34,7 +34,7 @@
         }
         // This process may have stood still meanwhile.
         if asked_at_ms >= deadline_ms {
-            return self.respond(waiter, PeerResponse::Lost);
+            return self.respond(waiter, PeerResponse::LeadershipLost);
         }
         if is_leader {
             return self.handle_as_leader(question, waiter);
@@ -62,7 +62,7 @@
             reply: sender,
         };
         self.sent_requests.insert(number, sent);
-        let frame = Frame::Ask {
+        let frame = Frame::PeerRequest {
             from: self.local_member.identity,
             number,
             validity,
@@ -91,18 +91,18 @@
     pub(super) fn handle_as_leader(&mut self, question: PeerRequest, waiter: Waiter) {
         let token = self.next_token();
         let input = match question {
-            PeerRequest::Confirm { demands } => {
+            PeerRequest::ReadIndex { demands } => {
                 let shares = self.grant(&demands);
                 self.granted_shares.insert(token, shares);
                 Input::ReadIndex(token)
             }
-            PeerRequest::Submit(proposal) => {
+            PeerRequest::Propose(proposal) => {
                 // That a proposal was applied stays true and needs no entry. A
                 // conflict or a refusal may rest on old state, at a leader that has
                 // just been elected or is cut off: it is decided where it is applied.
                 let known = self.state.read().check(&proposal);
                 if let Some(outcome @ Outcome::Duplicate { .. }) = known {
-                    return self.respond(waiter, PeerResponse::Submitted(outcome));
+                    return self.respond(waiter, PeerResponse::Proposed(outcome));
                 }
                 // What too few hold might go with the loss of one.
                 if self.node.members().voters.len() < self.min_voters {
@@ -110,9 +110,9 @@
                 }
                 Input::Propose(token, to_bytes(&proposal))
             }
-            PeerRequest::Admit(member) => Input::AddLearner(token, member),
-            PeerRequest::Retire { identity } => Input::RemoveMember(token, identity),
-            PeerRequest::Leave { identity } => Input::Leave(token, identity),
+            PeerRequest::AddLearner(member) => Input::AddLearner(token, member),
+            PeerRequest::RemoveMember { identity } => Input::RemoveMember(token, identity),
+            PeerRequest::PrepareToStop { identity } => Input::Leave(token, identity),
         };
         self.waiters.insert(token, waiter);
         self.step(input);
@@ -127,7 +127,7 @@
     }
 
     /// Shares of the tenants' paces, for all that a node speaks for.
-    pub(super) fn grant(&mut self, demands: &[FrontDemand]) -> Vec<FrontShares> {
+    pub(super) fn grant(&mut self, demands: &[RouterDemand]) -> Vec<RouterGrants> {
         self.renew_grants();
         let state = self.state.read();
         let terms = |tenant: &str| {
@@ -186,7 +186,7 @@
                 }
                 Waiter::Peer(..) => index,
             };
-            self.respond(waiter, PeerResponse::Confirmed { index, shares });
+            self.respond(waiter, PeerResponse::ReadIndex { index, shares });
         }
     }
 
@@ -200,7 +200,7 @@
             .collect();
         for number in late {
             if let Some(sent) = self.sent_requests.remove(&number) {
-                drop(sent.reply.send(PeerResponse::Lost));
+                drop(sent.reply.send(PeerResponse::LeadershipLost));
             }
         }
     }
--- a/directory/src/driver/thread/status.rs
+++ b/directory/src/driver/thread/status.rs
@@ -78,7 +78,7 @@
         if before.leader != cluster_status.leader {
             // What was asked of the former leader is asked again elsewhere.
             for (_, sent) in std::mem::take(&mut self.sent_requests) {
-                drop(sent.reply.send(PeerResponse::Lost));
+                drop(sent.reply.send(PeerResponse::LeadershipLost));
             }
             log::info!(term = cluster_status.term; "leader is {}",
                 cluster_status.leader.and_then(|id| cluster_status.members.get(id)).map_or("not known".into(), |m| m.to_string()));
--- a/directory/src/forwarded_requests.rs
+++ b/directory/src/forwarded_requests.rs
@@ -11,7 +11,7 @@
 use http_body_util::BodyExt;
 use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
 use policy::{ExtractedKey, KeyField, Prompt, RequestHead};
-use protocol::{Frame, JobHead};
+use protocol::{ForwardedRequest, Frame};
 use residency::Mapping;
 use std::pin::pin;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 const QUOTA_PATIENCE: Duration = Duration::from_millis(2_500);
 
 fn declined(refusal: &Rejection) -> Frame {
-    Frame::Declined {
+    Frame::Rejected {
         status: refusal.status,
         code: refusal.code.clone(),
         text: refusal.text.clone(),
@@ -43,10 +43,10 @@
         let text = "this directory node is cut off from a majority".into();
         return link::send(&mut writer, &Frame::Refused { text }).await;
     }
-    link::send(&mut writer, &Frame::Welcome).await?;
+    link::send(&mut writer, &Frame::Ready).await?;
     let first = tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::receive(&mut reader, 1 << 20))
         .await??;
-    let Some(Frame::Job(head)) = first else {
+    let Some(Frame::RequestHead(head)) = first else {
         bail!("a job's connection begins with the job")
     };
     control.metrics.increment("jobs-forwarded");
@@ -90,7 +90,7 @@
         }
         log::info!(job = head.id.as_str(); "admitted");
     }
-    link::send(&mut writer, &Frame::Mapped(mapping.clone())).await?;
+    link::send(&mut writer, &Frame::Mapping(mapping.clone())).await?;
     // Past its budget a node still answers with the mapping alone.
     let place = Arc::clone(&control.forwarding_slots).try_acquire_owned();
     let weight = (held.len() + 64 * 1024) as u32;
@@ -115,7 +115,7 @@
     let (pieces, rest) = mpsc::channel::<anyhow::Result<Bytes>>(8);
     let mut carried = RequestBody::new(held, (!is_ended).then(|| ChannelBody(rest).boxed_unsync()));
     if !is_ended {
-        link::send(&mut writer, &Frame::Go).await?;
+        link::send(&mut writer, &Frame::Continue).await?;
     }
     let parts = RequestParts {
         id: head.id.clone(),
@@ -147,7 +147,7 @@
         Ok(answer) => answer,
         Err(refusal) => return link::send(&mut writer, &declined(&refusal)).await,
     };
-    let head = Frame::AnswerHead {
+    let head = Frame::ResponseHead {
         status: answer.status.as_u16(),
         headers: headers_to_frame(&answer.headers),
     };
@@ -158,11 +158,11 @@
             piece = body.frame() => match piece {
                 Some(piece) => {
                     if let Ok(data) = piece?.into_data() {
-                        link::send(&mut writer, &Frame::AnswerBody(data.to_vec())).await?;
+                        link::send(&mut writer, &Frame::ResponseBody(data.to_vec())).await?;
                     }
                 }
                 None => {
-                    return link::send(&mut writer, &Frame::AnswerEnd).await;
+                    return link::send(&mut writer, &Frame::ResponseEnd).await;
                 }
             },
             gone = &mut upload => {
@@ -184,13 +184,13 @@
     loop {
         let frame = link::receive(reader, 1 << 20).await;
         match frame {
-            Ok(Some(Frame::Body(bytes))) if !is_ended => {
+            Ok(Some(Frame::RequestBody(bytes))) if !is_ended => {
                 if let Some(sender) = &pieces {
                     // The engine may stop listening; the answer says why.
                     drop(sender.send(Ok(bytes.into())).await);
                 }
             }
-            Ok(Some(Frame::BodyEnd)) if !is_ended => {
+            Ok(Some(Frame::RequestEnd)) if !is_ended => {
                 is_ended = true;
                 pieces = None;
             }
@@ -218,7 +218,7 @@
 /// Reads as much of the body as the key needs, and resolves it.
 async fn read_key(
     control: &ControlPlane,
-    head: &JobHead,
+    head: &ForwardedRequest,
     reader: &mut (impl AsyncRead + Unpin),
 ) -> anyhow::Result<Result<Found, Rejection>> {
     if !control.driver.lease_valid() {
@@ -261,8 +261,8 @@
     let mut is_ended = false;
     let extract = loop {
         match link::receive(reader, 1 << 20).await? {
-            Some(Frame::Body(bytes)) => held.extend_from_slice(&bytes),
-            Some(Frame::BodyEnd) => is_ended = true,
+            Some(Frame::RequestBody(bytes)) => held.extend_from_slice(&bytes),
+            Some(Frame::RequestEnd) => is_ended = true,
             Some(_) => bail!("an unexpected frame within a body"),
             None => bail!("the router left within the body"),
         }
--- a/directory/src/leader_clock.rs
+++ b/directory/src/leader_clock.rs
@@ -56,6 +56,6 @@
 /// Whether the leader of `term` may act on a question at `now`. Confirmations only
 /// read: a late one finds nobody waiting and changes nothing.
 pub fn is_valid(question: &PeerRequest, validity: Validity, term: Term, now: u64) -> bool {
-    let is_read = matches!(question, PeerRequest::Confirm { .. });
+    let is_read = matches!(question, PeerRequest::ReadIndex { .. });
     validity.term == term && (is_read || now < validity.deadline_ms)
 }
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -25,7 +25,7 @@
 use dispatch::quota::QuotaLimiter;
 use dispatch::Dispatcher;
 use parking_lot::{Mutex, RwLock};
-use protocol::{Frame, Front, PeerRequest, PeerResponse};
+use protocol::{Frame, PeerRequest, PeerResponse, RouterStatus};
 use residency::{ConfigDocument, State, View};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -124,11 +124,11 @@
     pub async fn read_barrier(&self) -> bool {
         let reply = self
             .driver
-            .ask(PeerRequest::Confirm {
+            .ask(PeerRequest::ReadIndex {
                 demands: Vec::new(),
             })
             .await;
-        matches!(reply, PeerResponse::Confirmed { .. })
+        matches!(reply, PeerResponse::ReadIndex { .. })
     }
 
     /// The same, asked again until it holds or patience ends.
@@ -156,7 +156,7 @@
     }
 
     /// The routers heard of lately, here or at another node, each with its age.
-    pub fn routers(&self) -> Vec<Front> {
+    pub fn routers(&self) -> Vec<RouterStatus> {
         self.routers.lock().list(false)
     }
 
--- a/directory/src/maintenance_windows.rs
+++ b/directory/src/maintenance_windows.rs
@@ -39,7 +39,7 @@
                 command,
             };
             let reply = control.submit_as_leader(proposal, term, PATIENCE).await;
-            if !matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })) {
+            if !matches!(reply, PeerResponse::Proposed(Outcome::Applied { .. })) {
                 break;
             }
         }
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -289,10 +289,16 @@
     let Some(identity) = identity.and_then(|text| u64::from_str_radix(&text, 16).ok()) else {
         return refused(400, "bad-question", "identity is 16 hexadecimal digits");
     };
-    match control.driver.ask(PeerRequest::Retire { identity }).await {
-        PeerResponse::Changed => http_server::json(200, &json!({ "retired": hex(identity) })),
-        PeerResponse::Unfit(text) => refused(409, "unfit", text.0),
-        PeerResponse::Lost => refused(
+    match control
+        .driver
+        .ask(PeerRequest::RemoveMember { identity })
+        .await
+    {
+        PeerResponse::MembershipChanged => {
+            http_server::json(200, &json!({ "retired": hex(identity) }))
+        }
+        PeerResponse::Rejected(text) => refused(409, "unfit", text.0),
+        PeerResponse::LeadershipLost => refused(
             503,
             "unknown",
             "leadership changed meanwhile; look at the members",
@@ -472,23 +478,23 @@
         }
         _ => control.submit(proposal, PATIENCE).await,
     };
-    if let PeerResponse::Submitted(outcome) = &reply {
+    if let PeerResponse::Proposed(outcome) = &reply {
         log::info!(proposal = id.as_str(); "{outcome:?}");
     }
     match reply {
-        PeerResponse::Submitted(Outcome::Applied { epoch }) => {
+        PeerResponse::Proposed(Outcome::Applied { epoch }) => {
             http_server::json(200, &json!({ "id": id, "epoch": epoch, "repeated": false }))
         }
-        PeerResponse::Submitted(Outcome::Duplicate { epoch }) => {
+        PeerResponse::Proposed(Outcome::Duplicate { epoch }) => {
             http_server::json(200, &json!({ "id": id, "epoch": epoch, "repeated": true }))
         }
-        PeerResponse::Submitted(Outcome::Conflict { epoch }) => refused(
+        PeerResponse::Proposed(Outcome::Conflict { epoch }) => refused(
             409,
             "conflict",
             format!("something of this kind changed at epoch {epoch}, past the base; nothing was changed"),
         ),
-        PeerResponse::Submitted(Outcome::Rejected(text)) => refused(422, "refused", text),
-        PeerResponse::Lost => refused(
+        PeerResponse::Proposed(Outcome::Rejected(text)) => refused(422, "refused", text),
+        PeerResponse::LeadershipLost => refused(
             503,
             "unknown",
             format!("leadership changed meanwhile; submit again with the same id {id}"),
--- a/directory/src/operator_commands.rs
+++ b/directory/src/operator_commands.rs
@@ -42,7 +42,7 @@
                 command: command.clone(),
             };
             match self.driver.submit(proposal, until).await {
-                PeerResponse::Submitted(Outcome::Conflict { .. }) => {}
+                PeerResponse::Proposed(Outcome::Conflict { .. }) => {}
                 reply => return reply,
             }
             // A caller that has heard nothing for longer than that may have gone to
--- a/directory/src/peers.rs
+++ b/directory/src/peers.rs
@@ -6,7 +6,7 @@
 use consensus::codec::from_bytes;
 use consensus::{EntryPayload, Member, MessageBody, NodeId};
 use parking_lot::Mutex;
-use protocol::{Frame, Kind, PeerRequest, PeerResponse};
+use protocol::{ConnectionKind, Frame, PeerRequest, PeerResponse};
 use residency::{Proposal, State};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
     }
 
     pub fn send(self: &Arc<PeerConnections>, address: &str, frame: Frame) {
-        if let Frame::Ask { number, .. } = &frame {
+        if let Frame::PeerRequest { number, .. } = &frame {
             self.pending_requests
                 .lock()
                 .record_sent(now(), *number, address);
@@ -91,7 +91,7 @@
                 return Ok(Some(frame));
             }
             Frame::Consensus(message) => Some(message.from),
-            Frame::Ask { from, .. } => Some(*from),
+            Frame::PeerRequest { from, .. } => Some(*from),
             Frame::PeerResponse { .. } => None,
             _ => return Ok(Some(frame)),
         };
@@ -129,7 +129,14 @@
                     None => return,
                 },
             };
-            match link::dial(self.source, to, Kind::Directory, &self.local_member.name).await {
+            match link::dial(
+                self.source,
+                to,
+                ConnectionKind::Peer,
+                &self.local_member.name,
+            )
+            .await
+            {
                 Ok(stream) => {
                     if let Err(error) = self.exchange_frames(to, stream, first, &mut frames).await {
                         log::debug!(to = address.as_str(); "link: {error:#}");
@@ -169,7 +176,7 @@
                     let Some(frame) = frame else { return Ok(()) };
                     tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(&mut writer, &frame)).await??;
                 }
-                back = link::receive(&mut reader, protocol::HELLO_CAP) => {
+                back = link::receive(&mut reader, protocol::MAX_HELLO_BYTES) => {
                     match back? {
                         Some(Frame::Refused { text }) => {
                             log::warn!("{to} refuses this node: {text}");
@@ -209,10 +216,10 @@
 async fn serve_connection(control: Arc<ControlPlane>, mut stream: TcpStream) -> anyhow::Result<()> {
     let (kind, name) = link::accept_handshake(&mut stream).await?;
     match kind {
-        Kind::Directory => receive_from_peer(control, stream).await,
-        Kind::Router => subscriptions::serve(control, stream, name).await,
-        Kind::Job => forwarded_requests::serve(control, stream).await,
-        Kind::Neighbour => anyhow::bail!("{name} takes this for a router"),
+        ConnectionKind::Peer => receive_from_peer(control, stream).await,
+        ConnectionKind::RouterSession => subscriptions::serve(control, stream, name).await,
+        ConnectionKind::Forwarding => forwarded_requests::serve(control, stream).await,
+        ConnectionKind::CacheSharing => anyhow::bail!("{name} takes this for a router"),
     }
 }
 
@@ -227,7 +234,7 @@
     // terms and rounds and may be late; reports of routers say only how old they
     // were when they were sent.
     let mut may_be_late = false;
-    while let Some(frame) = link::receive(&mut stream, protocol::CAP).await? {
+    while let Some(frame) = link::receive(&mut stream, protocol::MAX_FRAME_BYTES).await? {
         may_be_late |=
             now() - std::mem::replace(&mut received_at_ms, now()) >= subscriptions::MAX_SILENCE_MS;
         let Some(frame) = control.peers.check_sender(&mut peer, frame)? else {
@@ -244,7 +251,7 @@
             Frame::Consensus(message) => {
                 control.driver.send(DriverCommand::Received(message));
             }
-            Frame::Ask {
+            Frame::PeerRequest {
                 from,
                 number,
                 validity,
@@ -270,7 +277,7 @@
                     reply,
                 });
             }
-            Frame::Fronts { fronts, .. } => {
+            Frame::Routers { fronts, .. } => {
                 anyhow::ensure!(!may_be_late, "its reports of routers come late");
                 if control.driver.was_paused_recently() {
                     continue;
@@ -287,14 +294,14 @@
                 }
             }
             Frame::Join(member) => {
-                let reply = control.driver.ask(PeerRequest::Admit(member)).await;
+                let reply = control.driver.ask(PeerRequest::AddLearner(member)).await;
                 let text = match &reply {
-                    PeerResponse::Unfit(text) => text.0.clone(),
+                    PeerResponse::Rejected(text) => text.0.clone(),
                     other => format!("{other:?}"),
                 };
                 let admitted = matches!(
                     reply,
-                    PeerResponse::Confirmed { .. } | PeerResponse::Changed
+                    PeerResponse::ReadIndex { .. } | PeerResponse::MembershipChanged
                 );
                 link::send(&mut stream, &Frame::Joined { admitted, text }).await?;
             }
@@ -357,11 +364,21 @@
 }
 
 async fn request_join(control: &ControlPlane, seed: SocketAddr) -> anyhow::Result<(bool, String)> {
-    let mut stream =
-        link::dial(control.source, seed, Kind::Directory, &control.member.name).await?;
+    let mut stream = link::dial(
+        control.source,
+        seed,
+        ConnectionKind::Peer,
+        &control.member.name,
+    )
+    .await?;
     link::send(&mut stream, &Frame::Join(control.member.clone())).await?;
     let patience = Duration::from_secs(3);
-    match tokio::time::timeout(patience, link::receive(&mut stream, protocol::HELLO_CAP)).await?? {
+    match tokio::time::timeout(
+        patience,
+        link::receive(&mut stream, protocol::MAX_HELLO_BYTES),
+    )
+    .await??
+    {
         Some(Frame::Joined { admitted, text }) => Ok((admitted, text)),
         Some(Frame::Refused { text }) => Ok((false, text)),
         other => anyhow::bail!("an unexpected answer: {other:?}"),
--- a/directory/src/subscriptions.rs
+++ b/directory/src/subscriptions.rs
@@ -5,7 +5,8 @@
 use consensus::Member;
 use placement::{is_same_to_peers, RouterMembership};
 use protocol::{
-    Answer, Frame, Front, FrontDemand, FrontShares, PeerRequest, PeerResponse, LEASE_MS,
+    Frame, LookupResponse, PeerRequest, PeerResponse, RouterDemand, RouterGrants, RouterStatus,
+    LEASE_MS,
 };
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -37,7 +38,7 @@
 /// tell of theirs. Invariant: the younger report of a router stands.
 #[derive(Default)]
 pub struct RouterRegistry {
-    known: HashMap<String, (Front, u64, bool)>,
+    known: HashMap<String, (RouterStatus, u64, bool)>,
     heartbeats: Vec<WaitingHeartbeat>,
 }
 
@@ -45,13 +46,13 @@
 struct WaitingHeartbeat {
     sender: mpsc::Sender<Frame>,
     received_at_ms: u64,
-    demand: FrontDemand,
+    demand: RouterDemand,
 }
 
 impl RouterRegistry {
     /// Takes reports in; says whether one came, left, or says something else to the
     /// other routers.
-    pub fn take(&mut self, fronts: Vec<Front>, is_here: bool) -> bool {
+    pub fn take(&mut self, fronts: Vec<RouterStatus>, is_here: bool) -> bool {
         let at = now();
         let count = self.known.len();
         let mut is_other = false;
@@ -77,15 +78,15 @@
         self.known.len()
     }
 
-    pub fn list(&self, only_here: bool) -> Vec<Front> {
+    pub fn list(&self, only_here: bool) -> Vec<RouterStatus> {
         let at = now();
-        let mut list: Vec<Front> = self
+        let mut list: Vec<RouterStatus> = self
             .known
             .values()
             .filter(|(_, heard, is_here)| {
                 at.saturating_sub(*heard) < MAX_ROUTER_AGE_MS && (*is_here || !only_here)
             })
-            .map(|(front, heard, _)| Front {
+            .map(|(front, heard, _)| RouterStatus {
                 age_ms: at.saturating_sub(*heard),
                 ..front.clone()
             })
@@ -135,7 +136,7 @@
             };
             // What finds no place is news again the next time.
             last = None;
-            if out.try_send(Frame::Company(news.clone())).is_ok() {
+            if out.try_send(Frame::RegistryUpdate(news.clone())).is_ok() {
                 told.apply(&news);
                 last = Some(seen);
             }
@@ -169,7 +170,7 @@
                 anyhow::bail!("it fell behind")
             };
             match frame {
-                Frame::Beat { front, demand } => {
+                Frame::Heartbeat { front, demand } => {
                     let mut routers = control.routers.lock();
                     routers.heartbeats.push(WaitingHeartbeat {
                         sender: out,
@@ -189,7 +190,7 @@
                         control.router_list_version.send_modify(|count| *count += 1);
                     }
                 }
-                Frame::Resolve {
+                Frame::LookupRequest {
                     number,
                     tenant,
                     service,
@@ -197,7 +198,7 @@
                 } => {
                     control.metrics.increment("resolves");
                     let answer = resolve(&control, &tenant, &service, &region);
-                    drop(out.try_send(Frame::Resolved { number, answer }));
+                    drop(out.try_send(Frame::LookupResponse { number, answer }));
                 }
                 other => anyhow::bail!("an unexpected frame from a router: {other:?}"),
             }
@@ -210,14 +211,14 @@
     }
 }
 
-fn resolve(control: &ControlPlane, tenant: &str, service: &str, region: &str) -> Answer {
+fn resolve(control: &ControlPlane, tenant: &str, service: &str, region: &str) -> LookupResponse {
     match control.driver.resolve(tenant, service, region) {
-        Some(Ok(mapping)) => Answer::Mapping(mapping),
-        Some(Err((code, text))) => Answer::None {
+        Some(Ok(mapping)) => LookupResponse::Found(mapping),
+        Some(Err((code, text))) => LookupResponse::NotFound {
             code: code.into(),
             text: text.as_str().into(),
         },
-        None => Answer::Later,
+        None => LookupResponse::Unavailable,
     }
 }
 
@@ -247,12 +248,12 @@
         let said = heartbeats.iter().map(|beat| &beat.demand).chain([&own]);
         // Where quotas go by pools a router counts as heard also without a demand.
         let is_told =
-            |demand: &&FrontDemand| control.has_quota_margin || !demand.demands.is_empty();
+            |demand: &&RouterDemand| control.has_quota_margin || !demand.demands.is_empty();
         let demands = said.filter(is_told).cloned().collect();
-        match control.driver.ask(PeerRequest::Confirm { demands }).await {
-            PeerResponse::Confirmed { index, shares } => {
-                let share = |demand: &FrontDemand| {
-                    let is_its = |share: &&FrontShares| {
+        match control.driver.ask(PeerRequest::ReadIndex { demands }).await {
+            PeerResponse::ReadIndex { index, shares } => {
+                let share = |demand: &RouterDemand| {
+                    let is_its = |share: &&RouterGrants| {
                         share.front == demand.front && share.number == demand.number
                     };
                     shares
@@ -299,7 +300,7 @@
                     let (from, fronts) = (control.member.identity, fronts.clone());
                     control
                         .peers
-                        .send(&member.address, Frame::Fronts { from, fronts });
+                        .send(&member.address, Frame::Routers { from, fronts });
                 }
             }
         }
--- a/directory/tests/common/mod.rs
+++ b/directory/tests/common/mod.rs
@@ -43,7 +43,7 @@
     /// Lets it go on, as the cut's end would, with another validity if need be.
     pub async fn release(&self, validity: Validity) {
         let (from, number, question) = (self.from, self.number, self.question.clone());
-        let frame = Frame::Ask {
+        let frame = Frame::PeerRequest {
             from,
             number,
             validity,
@@ -87,7 +87,7 @@
             drop(tokio::io::copy(&mut far_in, &mut near_out).await);
         });
         let way = Arc::new(Mutex::new(far_out));
-        while let Ok(Some(frame)) = link::receive(&mut near_in, protocol::CAP).await {
+        while let Ok(Some(frame)) = link::receive(&mut near_in, protocol::MAX_FRAME_BYTES).await {
             let frames = (self.filter.lock())(frame);
             for frame in frames
                 .into_iter()
@@ -105,11 +105,11 @@
 
     fn pass(&self, frame: Frame, way: &Arc<Mutex<OwnedWriteHalf>>) -> Option<Frame> {
         match frame {
-            Frame::Ask {
+            Frame::PeerRequest {
                 from,
                 number,
                 validity,
-                question: question @ PeerRequest::Submit(_),
+                question: question @ PeerRequest::Propose(_),
             } if self.is_holding.load(Ordering::SeqCst) => {
                 let way = Arc::clone(way);
                 let held = HeldProposal {
@@ -245,7 +245,7 @@
         let reply = order.await;
         let is_taken = matches!(
             reply,
-            PeerResponse::Submitted(Outcome::Applied { .. } | Outcome::Duplicate { .. })
+            PeerResponse::Proposed(Outcome::Applied { .. } | Outcome::Duplicate { .. })
         );
         assert!(is_taken, "{id}: {reply:?}");
     }
--- a/directory/tests/leader_clock.rs
+++ b/directory/tests/leader_clock.rs
@@ -9,7 +9,7 @@
 
 fn submit() -> PeerRequest {
     let command = Command::EvacuateZone("n-a".into());
-    PeerRequest::Submit(Proposal {
+    PeerRequest::Propose(Proposal {
         id: "one".into(),
         base_epoch: 1,
         command,
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_question_counts_in_the_term_it_was_asked_in() {
-    let confirm = PeerRequest::Confirm {
+    let confirm = PeerRequest::ReadIndex {
         demands: Vec::new(),
     };
     let cases = [
@@ -70,7 +70,7 @@
         (submit(), TERM, 0, false),
         (submit(), TERM - 1, 101, false),
         (submit(), TERM + 1, 101, false),
-        (PeerRequest::Retire { identity: 9 }, TERM, 100, false),
+        (PeerRequest::RemoveMember { identity: 9 }, TERM, 100, false),
         // It only reads: a late one finds nobody waiting.
         (confirm.clone(), TERM, 0, true),
         (confirm, TERM - 1, 0, false),
--- a/directory/tests/operator_commands.rs
+++ b/directory/tests/operator_commands.rs
@@ -51,7 +51,7 @@
     .await;
     let reply = nodes.reply_to(held.number).await;
     assert!(
-        matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })),
+        matches!(reply, PeerResponse::Proposed(Outcome::Conflict { .. })),
         "{reply:?}"
     );
     for validity in [
@@ -106,7 +106,7 @@
     .await;
     let reply = nodes.reply_to(held.number).await;
     assert!(
-        matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })),
+        matches!(reply, PeerResponse::Proposed(Outcome::Conflict { .. })),
         "{reply:?}"
     );
     assert!(nodes.is_evacuated("n-a").await);
@@ -135,12 +135,12 @@
     .await;
     let reply = nodes.reply_to(held.number).await;
     assert!(
-        matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })),
+        matches!(reply, PeerResponse::Proposed(Outcome::Conflict { .. })),
         "{reply:?}"
     );
     let reply = order.await.expect("nobody panics");
     assert!(
-        matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })),
+        matches!(reply, PeerResponse::Proposed(Outcome::Applied { .. })),
         "{reply:?}"
     );
     assert!(nodes.is_evacuated("n-a").await);
@@ -150,7 +150,7 @@
         .execute("held".into(), evacuate(), PATIENCE, PATIENCE)
         .await;
     assert!(
-        matches!(again, PeerResponse::Submitted(Outcome::Duplicate { .. })),
+        matches!(again, PeerResponse::Proposed(Outcome::Duplicate { .. })),
         "{again:?}"
     );
     assert!(!nodes.is_evacuated("n-a").await);
@@ -190,7 +190,7 @@
     .await;
     let reply = nodes.reply_to(held.number).await;
     assert!(
-        matches!(reply, PeerResponse::Submitted(Outcome::Conflict { .. })),
+        matches!(reply, PeerResponse::Proposed(Outcome::Conflict { .. })),
         "{reply:?}"
     );
     let reply = order.await.expect("nobody panics");
@@ -215,7 +215,7 @@
         .execute("held".into(), evacuate(), PATIENCE, patience)
         .await;
     let ended = transport::now();
-    assert!(!matches!(reply, PeerResponse::Submitted(_)), "{reply:?}");
+    assert!(!matches!(reply, PeerResponse::Proposed(_)), "{reply:?}");
     let mut held = vec![nodes.next_held().await];
     held.extend(nodes.others_held());
     nodes.hold(false);
@@ -238,7 +238,7 @@
         next.execute("next".into(), reinstate(), PATIENCE, PATIENCE)
             .await
     });
-    let PeerRequest::Submit(proposal) = nodes.next_held().await.question else {
+    let PeerRequest::Propose(proposal) = nodes.next_held().await.question else {
         panic!("proposals alone are held")
     };
     assert_eq!(proposal.id, "next");
@@ -314,9 +314,9 @@
             body: MessageBody::AppendEntriesResponse { .. },
             ..
         }) if to == next_id && (from == leader_id || !is_asked) => Vec::new(),
-        Frame::Ask {
+        Frame::PeerRequest {
             validity,
-            question: PeerRequest::Submit(_),
+            question: PeerRequest::Propose(_),
             ..
         } => {
             is_asked |= validity.deadline_ms > 0;
@@ -342,7 +342,7 @@
     );
     let reply = third.submit(proposal, PATIENCE).await;
     assert!(
-        matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })),
+        matches!(reply, PeerResponse::Proposed(Outcome::Applied { .. })),
         "{reply:?}"
     );
 }
@@ -369,7 +369,7 @@
         .submit_as_leader(proposal("due"), term, PATIENCE)
         .await;
     assert!(
-        matches!(reply, PeerResponse::Submitted(Outcome::Applied { .. })),
+        matches!(reply, PeerResponse::Proposed(Outcome::Applied { .. })),
         "{reply:?}"
     );
 }
--- a/directory/tests/recorded_data.rs
+++ b/directory/tests/recorded_data.rs
@@ -305,7 +305,7 @@
         .execute("s-part".into(), revision(), PATIENCE, PATIENCE)
         .await;
     let repeated = Outcome::Duplicate { epoch: LAST_INDEX };
-    assert_eq!(repeat, PeerResponse::Submitted(repeated));
+    assert_eq!(repeat, PeerResponse::Proposed(repeated));
 
     // New commands are committed, past the point where this build takes a snapshot.
     for turn in 0..12 {
@@ -317,7 +317,7 @@
         let reply = node
             .execute(format!("new-{turn}"), command, PATIENCE, PATIENCE)
             .await;
-        let is_applied = matches!(reply, PeerResponse::Submitted(Outcome::Applied { epoch }) if epoch > LAST_INDEX);
+        let is_applied = matches!(reply, PeerResponse::Proposed(Outcome::Applied { epoch }) if epoch > LAST_INDEX);
         assert!(is_applied, "command {turn}: {reply:?}");
     }
     for node in &nodes {
--- a/dispatch/src/quota.rs
+++ b/dispatch/src/quota.rs
@@ -3,7 +3,7 @@
 
 use parking_lot::Mutex;
 use placement::{AdmissionDecision, LeaseRateLimiter, QueueingRateLimiter, QuotaTolerance};
-use protocol::{FrontDemand, Share};
+use protocol::{QuotaGrant, RouterDemand};
 use std::time::Duration;
 use tokio::sync::Notify;
 use transport::now;
@@ -64,14 +64,14 @@
         }
     }
 
-    pub fn lease_demands(&self, front: &str, number: u64) -> FrontDemand {
+    pub fn lease_demands(&self, front: &str, number: u64) -> RouterDemand {
         match &self.means {
             Means::Queueing(meters) => meters.lock().demand(now(), front, number),
             Means::Leased(taps) => taps.lock().demand(now(), front, number),
         }
     }
 
-    pub fn apply_shares(&self, number: u64, until: u64, shares: &[Share]) {
+    pub fn apply_shares(&self, number: u64, until: u64, shares: &[QuotaGrant]) {
         match &self.means {
             Means::Queueing(meters) => meters.lock().apply_shares(now(), number, until, shares),
             Means::Leased(taps) => taps.lock().apply_shares(now(), number, until, shares),
--- a/placement/src/paces.rs
+++ b/placement/src/paces.rs
@@ -5,7 +5,7 @@
 //! differences, so that a beat or an answer that is lost, late or said twice
 //! changes nothing.
 
-use protocol::{Demand, FrontDemand, FrontShares, Share, LATELY_MS, LEASE_MS};
+use protocol::{QuotaDemand, QuotaGrant, RouterDemand, RouterGrants, LEASE_MS, RECENT_SPANS_MS};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// How long a job waits for its tenant's pace where there is a leader's word:
@@ -39,7 +39,7 @@
     /// The leader's last word: when, how long its queue is, and since when its
     /// words have come without a gap.
     word: Option<(u64, u64, u64)>,
-    /// When jobs were admitted, and how many, for as long as `LATELY_MS` asks.
+    /// When jobs were admitted, and how many, for as long as `RECENT_SPANS_MS` asks.
     lately: VecDeque<(u64, u64)>,
 }
 
@@ -59,11 +59,11 @@
         while self
             .lately
             .front()
-            .is_some_and(|(at, _)| at + LATELY_MS[3] < now)
+            .is_some_and(|(at, _)| at + RECENT_SPANS_MS[3] < now)
         {
             self.lately.pop_front();
         }
-        LATELY_MS.map(|span| {
+        RECENT_SPANS_MS.map(|span| {
             let inside = self.lately.iter().filter(|(at, _)| at + span >= now);
             inside.map(|(_, count)| count).sum()
         })
@@ -189,7 +189,7 @@
     }
 
     /// What to say of all tenants with the beat of this number.
-    pub fn demand(&mut self, now: u64, front: &str, number: u64) -> FrontDemand {
+    pub fn demand(&mut self, now: u64, front: &str, number: u64) -> RouterDemand {
         self.wake(now);
         let elapsed = now.saturating_sub(self.beaten).clamp(20, 1_000) as f64;
         self.beaten = now;
@@ -222,7 +222,7 @@
                 meter.floor = number;
             }
             meter.floor = meter.floor.max(lost);
-            Demand {
+            QuotaDemand {
                 tenant: tenant.clone(),
                 used: meter.used,
                 limit: meter.limit,
@@ -234,7 +234,7 @@
         });
         let demands = demands.collect();
         let age_ms = now - self.began;
-        FrontDemand {
+        RouterDemand {
             front: front.into(),
             life: self.life,
             number,
@@ -245,7 +245,7 @@
 
     /// Takes the leader's answer to the beat of this number; what it allows
     /// lapses at `until`.
-    pub fn apply_shares(&mut self, now: u64, number: u64, until: u64, shares: &[Share]) {
+    pub fn apply_shares(&mut self, now: u64, number: u64, until: u64, shares: &[QuotaGrant]) {
         self.asked = None;
         for share in shares {
             let Some(meter) = self.meters.get_mut(&share.tenant) else {
@@ -332,9 +332,9 @@
     pub fn allocate(
         &mut self,
         now: u64,
-        from: &FrontDemand,
+        from: &RouterDemand,
         terms: impl Fn(&str) -> Option<(u64, u64)>,
-    ) -> FrontShares {
+    ) -> RouterGrants {
         let shares = from.demands.iter().filter_map(|demand| {
             let (pace, burst) = terms(&demand.tenant).filter(|terms| terms.0 > 0)?;
             let most = (burst.max(1) * 1_000) as i64;
@@ -343,7 +343,7 @@
                 .entry(demand.tenant.clone())
                 .or_insert_with(|| Pot {
                     held: most,
-                    before: LATELY_MS.map(|span| most + (span * pace) as i64),
+                    before: RECENT_SPANS_MS.map(|span| most + (span * pace) as i64),
                     since: now,
                     filled: now,
                     accounts: BTreeMap::new(),
@@ -351,7 +351,7 @@
             Some(pot.answer(now, from, demand, pace, most, now < self.since + HEARING_MS))
         });
         let shares = shares.collect();
-        FrontShares {
+        RouterGrants {
             front: from.front.clone(),
             number: from.number,
             shares,
@@ -363,12 +363,12 @@
     fn answer(
         &mut self,
         now: u64,
-        from: &FrontDemand,
-        demand: &Demand,
+        from: &RouterDemand,
+        demand: &QuotaDemand,
         pace: u64,
         most: i64,
         is_hearing: bool,
-    ) -> Share {
+    ) -> QuotaGrant {
         let gained = (now.saturating_sub(self.filled) * pace) as i64;
         self.held = self.held.saturating_add(gained).min(most);
         self.before = self.before.map(|held| held.saturating_add(gained));
@@ -390,7 +390,7 @@
                 .zip(lately)
                 .for_each(|(held, count)| *held -= count);
             // Neither knows what was admitted before both began.
-            if from.age_ms < LATELY_MS[3] && now < self.since + LEASE_MS {
+            if from.age_ms < RECENT_SPANS_MS[3] && now < self.since + LEASE_MS {
                 self.held = self.held.min(most / 2);
             }
         }
@@ -462,7 +462,7 @@
                 account.given.push((from.number, limit));
             }
         }
-        Share {
+        QuotaGrant {
             tenant: demand.tenant.clone(),
             limit,
             queue_ms: queue * 1_000 / pace,
@@ -518,8 +518,8 @@
             .collect();
         let mut paces = Some(TokenAllocator::new(1_000));
         let mut beats: Vec<(u64, u64)> = (0..routers).map(|_| (1_000 + draw(350), 0)).collect();
-        let mut up: Vec<(u64, usize, u64, FrontDemand)> = Vec::new();
-        let mut down: Vec<(u64, usize, u64, FrontShares)> = Vec::new();
+        let mut up: Vec<(u64, usize, u64, RouterDemand)> = Vec::new();
+        let mut down: Vec<(u64, usize, u64, RouterGrants)> = Vec::new();
         let mut queue: Vec<Job> = Vec::new();
         let mut seen = Seen::default();
         let (mut due, mut said) = (3_000_000, 0u64);
--- a/placement/src/pools.rs
+++ b/placement/src/pools.rs
@@ -11,14 +11,14 @@
 //! differences, so that a beat or an answer that is lost, late or said twice
 //! changes nothing.
 
-use protocol::{Demand, FrontDemand, FrontShares, Share, LATELY_MS, LEASE_MS};
+use protocol::{QuotaDemand, QuotaGrant, RouterDemand, RouterGrants, LEASE_MS, RECENT_SPANS_MS};
 use std::collections::{BTreeMap, VecDeque};
 
 /// How long a router keeps its part without a word, counted from when it asked
 /// last. The leader keeps it for that router for as long, and a window.
 pub const QUOTA_LEASE_MS: u64 = 60_000;
 /// A tenant that nobody asked for during this time gives back what it was lent.
-/// Invariant: longer than `LATELY_MS`, so that a tenant that a router does not
+/// Invariant: longer than `RECENT_SPANS_MS`, so that a tenant that a router does not
 /// speak of has admitted nothing there lately.
 const RECENT_MS: u64 = 60_000;
 /// Over how long a tenant's demand is smoothed.
@@ -118,7 +118,7 @@
         let mut counts = Counts::default();
         for at in (0..lately.len()).rev() {
             let (inner, ago) = if at > 0 {
-                (lately[at - 1], LATELY_MS[at - 1])
+                (lately[at - 1], RECENT_SPANS_MS[at - 1])
             } else {
                 (0, 0)
             };
@@ -305,7 +305,7 @@
         }
         tap.used += 1;
         tap.counts
-            .forget(now.saturating_sub(LATELY_MS[3].max(window)));
+            .forget(now.saturating_sub(RECENT_SPANS_MS[3].max(window)));
         tap.counts.add(now, 1);
         true
     }
@@ -313,7 +313,7 @@
     /// What to say with the beat of this number: of the tenants that were asked
     /// for of late, and of those of which the leader may not know that they
     /// weren't.
-    pub fn demand(&mut self, now: u64, front: &str, number: u64) -> FrontDemand {
+    pub fn demand(&mut self, now: u64, front: &str, number: u64) -> RouterDemand {
         self.number = self.number.max(number);
         let taps = self.taps.iter_mut().filter(|(_, tap)| !tap.is_told);
         let demands = taps.map(|(tenant, tap)| {
@@ -326,19 +326,19 @@
                 let first = *tap.idle.get_or_insert(number);
                 tap.taken = tap.taken.max(first.saturating_sub(1));
             }
-            Demand {
+            QuotaDemand {
                 tenant: tenant.clone(),
                 used: tap.used,
                 limit: tap.limit,
                 floor: tap.taken,
                 waiting: tap.part,
                 ahead: if is_idle { 0 } else { tap.asked(now) },
-                lately: LATELY_MS.map(|span| tap.counts.since(now.saturating_sub(span))),
+                lately: RECENT_SPANS_MS.map(|span| tap.counts.since(now.saturating_sub(span))),
             }
         });
         let demands = demands.collect();
         let age_ms = now.saturating_sub(self.began);
-        FrontDemand {
+        RouterDemand {
             front: front.into(),
             life: self.life,
             number,
@@ -351,7 +351,7 @@
     /// until `until`, `LEASE_MS` after the beat was sent. Invariant: it is an
     /// answer to a beat of this life, which a connection that ends with the process
     /// makes sure of.
-    pub fn apply_shares(&mut self, now: u64, number: u64, until: u64, shares: &[Share]) {
+    pub fn apply_shares(&mut self, now: u64, number: u64, until: u64, shares: &[QuotaGrant]) {
         if now >= until {
             return;
         }
@@ -526,11 +526,11 @@
     pub fn allocate(
         &mut self,
         now: u64,
-        from: &FrontDemand,
+        from: &RouterDemand,
         routers: usize,
         terms: impl Fn(&str) -> Option<(u64, u64)>,
-    ) -> FrontShares {
-        let mut answer = FrontShares {
+    ) -> RouterGrants {
+        let mut answer = RouterGrants {
             front: from.front.clone(),
             number: from.number,
             shares: Vec::new(),
@@ -571,17 +571,19 @@
                 .retain(|name, _| self.routers.contains_key(name));
             let limit = pool.answer(now, from, demand, window, readiness);
             let share = limit.map(|limit| (demand.tenant.clone(), limit));
-            answer.shares.extend(share.map(|(tenant, limit)| Share {
-                tenant,
-                limit,
-                queue_ms: 0,
-            }));
+            answer
+                .shares
+                .extend(share.map(|(tenant, limit)| QuotaGrant {
+                    tenant,
+                    limit,
+                    queue_ms: 0,
+                }));
         }
         answer
     }
 
     /// Whether the beat is news.
-    fn hear(&mut self, now: u64, from: &FrontDemand, routers: usize) -> bool {
+    fn hear(&mut self, now: u64, from: &RouterDemand, routers: usize) -> bool {
         let (life, number) = (from.life, from.number);
         let is_new = !self.routers.contains_key(&from.front);
         let router = self.routers.entry(from.front.clone()).or_insert(Router {
@@ -656,8 +658,8 @@
     fn answer(
         &mut self,
         now: u64,
-        from: &FrontDemand,
-        demand: &Demand,
+        from: &RouterDemand,
+        demand: &QuotaDemand,
         window: u64,
         readiness: Readiness,
     ) -> Option<u64> {
--- a/placement/src/router_membership.rs
+++ b/placement/src/router_membership.rs
@@ -2,7 +2,7 @@
 //! and from then on by what is new.
 
 use consensus::Member;
-use protocol::{Front, News};
+use protocol::{RegistryUpdate, RouterStatus};
 use residency::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,15 +11,15 @@
 /// so that both have the same.
 #[derive(Default)]
 pub struct RouterMembership {
-    fronts: BTreeMap<String, Front>,
+    fronts: BTreeMap<String, RouterStatus>,
     directories: Vec<Member>,
     has_begun: bool,
 }
 
 /// Whether a router's report says the same to the other routers. Its age and the
 /// epoch that it has are nothing to them, but for whether it has one.
-pub fn is_same_to_peers(one: &Front, other: &Front) -> bool {
-    let said = |front: &Front| (front.is_leaving, front.epoch > 0);
+pub fn is_same_to_peers(one: &RouterStatus, other: &RouterStatus) -> bool {
+    let said = |front: &RouterStatus| (front.is_leaving, front.epoch > 0);
     said(one) == said(other)
         && one.address == other.address
         && one.door == other.door
@@ -28,7 +28,7 @@
 }
 
 impl RouterMembership {
-    pub fn routers(&self) -> impl Iterator<Item = &Front> {
+    pub fn routers(&self) -> impl Iterator<Item = &RouterStatus> {
         self.fronts.values()
     }
 
@@ -37,20 +37,20 @@
     }
 
     /// What is to be said for the other end to have these; it may be nothing.
-    pub fn update_to(&self, fronts: Vec<Front>, directories: Vec<Member>) -> News {
+    pub fn update_to(&self, fronts: Vec<RouterStatus>, directories: Vec<Member>) -> RegistryUpdate {
         let names: BTreeSet<&str> = fronts.iter().map(|front| front.name.as_str()).collect();
         let gone = self
             .fronts
             .keys()
             .filter(|name| !names.contains(name.as_str()));
         let gone = gone.map(|name| Name(name.clone())).collect();
-        let is_news = |front: &Front| {
+        let is_news = |front: &RouterStatus| {
             self.fronts
                 .get(&front.name)
                 .is_none_or(|known| !is_same_to_peers(known, front))
         };
         let is_known = self.has_begun && directories == self.directories;
-        News {
+        RegistryUpdate {
             is_first: u8::from(!self.has_begun),
             gone,
             fronts: fronts.into_iter().filter(|front| is_news(front)).collect(),
@@ -59,8 +59,8 @@
     }
 
     /// What is said where nothing came, left or changed.
-    pub fn empty_update(&self) -> News {
-        News {
+    pub fn empty_update(&self) -> RegistryUpdate {
+        RegistryUpdate {
             is_first: u8::from(!self.has_begun),
             fronts: Vec::new(),
             gone: Vec::new(),
@@ -68,7 +68,7 @@
         }
     }
 
-    pub fn apply(&mut self, news: &News) {
+    pub fn apply(&mut self, news: &RegistryUpdate) {
         if news.is_first != 0 {
             *self = RouterMembership::default();
         }
--- a/placement/tests/pools.rs
+++ b/placement/tests/pools.rs
@@ -1,7 +1,7 @@
 //! Tenants' quotas over whole fleets in virtual time, from fixed seeds.
 
 use placement::{LeaseRateLimiter, QuotaLeaseAllocator, QuotaTolerance, STARTUP_RESERVE_RATIO};
-use protocol::{FrontDemand, FrontShares, LEASE_MS};
+use protocol::{RouterDemand, RouterGrants, LEASE_MS};
 
 const MARGIN: QuotaTolerance = QuotaTolerance {
     overrun_factor: 1.1,
@@ -96,8 +96,8 @@
     let mut waiting = vec![0u64; routers];
     let mut pools = Some(QuotaLeaseAllocator::new(0, MARGIN));
     let mut leader_at = 0;
-    let mut up: Vec<(u64, usize, u64, FrontDemand)> = Vec::new();
-    let mut down: Vec<(u64, usize, u64, FrontShares)> = Vec::new();
+    let mut up: Vec<(u64, usize, u64, RouterDemand)> = Vec::new();
+    let mut down: Vec<(u64, usize, u64, RouterGrants)> = Vec::new();
     // Between a sixth and a twelfth each, for nine: one part to two.
     let weights: Vec<u64> = (0..routers).map(|_| 100 + draw(101)).collect();
     let weights: Vec<u64> = if routers == 9 {
@@ -483,7 +483,7 @@
     let burst = |taps: &mut LeaseRateLimiter, now: u64, jobs: u64| {
         (0..jobs).filter(|_| taps.admit(now, "t", 2, 2, 1)).count()
     };
-    let number = |demand: &FrontDemand| demand.number;
+    let number = |demand: &RouterDemand| demand.number;
     // Rate and burst allow 33 in a window; 8 of them are for the young, and half
     // of the rest is the floor; seven tenths of a part may go within half a window.
     let young = |now: u64, jobs: u64| burst(&mut LeaseRateLimiter::new(0, 7, MARGIN), now, jobs);
--- a/placement/tests/router_membership.rs
+++ b/placement/tests/router_membership.rs
@@ -2,10 +2,10 @@
 
 use consensus::Member;
 use placement::RouterMembership;
-use protocol::{Front, News};
+use protocol::{RegistryUpdate, RouterStatus};
 
-fn front(number: u64, epoch: u64, is_leaving: bool, age_ms: u64) -> Front {
-    Front {
+fn front(number: u64, epoch: u64, is_leaving: bool, age_ms: u64) -> RouterStatus {
+    RouterStatus {
         name: format!("router-{number}"),
         region: "north".into(),
         zone: "north-a".into(),
@@ -30,7 +30,7 @@
 }
 
 fn said(company: &RouterMembership) -> Vec<(String, String, bool, u8)> {
-    let said = |front: &Front| {
+    let said = |front: &RouterStatus| {
         (
             front.name.clone(),
             front.address.clone(),
@@ -54,7 +54,7 @@
             (state >> 33) % below
         };
         let (mut node, mut router) = (RouterMembership::default(), RouterMembership::default());
-        let mut there: Vec<Front> = Vec::new();
+        let mut there: Vec<RouterStatus> = Vec::new();
         let mut nodes = 1;
         for step in 0..200 {
             match draw(6) {
@@ -107,7 +107,7 @@
         (1, 350, 8)
     );
     node.apply(&first);
-    let nothing = News {
+    let nothing = RegistryUpdate {
         is_first: 0,
         fronts: Vec::new(),
         gone: Vec::new(),
@@ -115,6 +115,6 @@
     };
     assert_eq!(node.update_to(list(2, 700), members(8)), nothing);
     assert_eq!(node.empty_update(), nothing);
-    let length = protocol::encode(&protocol::Frame::Company(nothing)).len();
+    let length = protocol::encode(&protocol::Frame::RegistryUpdate(nothing)).len();
     assert!(length <= 32, "nothing new is said in {length} bytes");
 }
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -10,35 +10,35 @@
 use residency::{Event, Mapping, Name, Outcome, Proposal};
 
 /// The epoch of these frames. Changed whenever one of them changes.
-pub const EPOCH: u16 = 9;
+pub const VERSION: u16 = 9;
 /// How long a confirmation by a majority is a lease, counted from when it
 /// was asked for. Invariant: shorter than any bound within which a change must
 /// be in force, and well longer than an election.
 pub const LEASE_MS: u64 = 2_000;
 /// The most that one frame may hold.
-pub const CAP: usize = 64 << 20;
+pub const MAX_FRAME_BYTES: usize = 64 << 20;
 /// The most that a frame may hold on a connection that has not said who it is.
-pub const HELLO_CAP: usize = 4096;
+pub const MAX_HELLO_BYTES: usize = 4096;
 
 #[binrw]
 #[brw(big, repr = u8)]
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum ConnectionKind {
     /// Another directory node: a stream of `Between` frames.
-    Directory = 1,
+    Peer = 1,
     /// A router's session with a directory node.
-    Router = 2,
+    RouterSession = 2,
     /// One forwarded job.
-    Job = 3,
+    Forwarding = 3,
     /// A router asking a neighbour's share of the region's cache.
-    Neighbour = 4,
+    CacheSharing = 4,
 }
 
 /// A router as the others know it; soft, from its beats.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct Front {
+pub struct RouterStatus {
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub name: String,
@@ -67,12 +67,12 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct News {
+pub struct RegistryUpdate {
     /// The first of a session: what was known before counts no more.
     pub is_first: u8,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
-    pub fronts: Vec<Front>,
+    pub fronts: Vec<RouterStatus>,
     /// Routers that are there no more, by name.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
@@ -88,7 +88,7 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct Demand {
+pub struct QuotaDemand {
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub tenant: String,
@@ -102,18 +102,18 @@
     pub waiting: u64,
     /// Jobs that it would have beyond those.
     pub ahead: u64,
-    /// Jobs that were admitted in the last `LATELY_MS`, for a leader that is new.
+    /// Jobs that were admitted in the last `RECENT_SPANS_MS`, for a leader that is new.
     pub lately: [u64; 4],
 }
 
-/// The spans that `Demand::lately` speaks of.
-pub const LATELY_MS: [u64; 4] = [1_000, 2_000, 4_000, 8_000];
+/// The spans that `QuotaDemand::lately` speaks of.
+pub const RECENT_SPANS_MS: [u64; 4] = [1_000, 2_000, 4_000, 8_000];
 
 /// The leader's answer to a demand.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct Share {
+pub struct QuotaGrant {
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub tenant: String,
@@ -126,7 +126,7 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct FrontDemand {
+pub struct RouterDemand {
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub front: String,
@@ -138,20 +138,20 @@
     pub age_ms: u64,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
-    pub demands: Vec<Demand>,
+    pub demands: Vec<QuotaDemand>,
 }
 
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct FrontShares {
+pub struct RouterGrants {
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub front: String,
     pub number: u64,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
-    pub shares: Vec<Share>,
+    pub shares: Vec<QuotaGrant>,
 }
 
 #[binrw]
@@ -170,7 +170,7 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct JobHead {
+pub struct ForwardedRequest {
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub id: String,
@@ -202,7 +202,7 @@
     #[brw(magic = 1u8)]
     Hello {
         epoch: u16,
-        kind: Kind,
+        kind: ConnectionKind,
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         name: String,
@@ -220,7 +220,7 @@
     Consensus(Message),
     /// A question to the leader; answered to `from` with the same number.
     #[brw(magic = 11u8)]
-    Ask {
+    PeerRequest {
         from: u64,
         number: u64,
         /// The term in which it was asked, and how long it may be acted on.
@@ -236,11 +236,11 @@
     },
     /// The routers that beat at the sender.
     #[brw(magic = 13u8)]
-    Fronts {
+    Routers {
         from: u64,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        fronts: Vec<Front>,
+        fronts: Vec<RouterStatus>,
     },
     /// A blank node asks to be let in; answered on the same connection.
     #[brw(magic = 14u8)]
@@ -261,7 +261,10 @@
 
     // Router and directory node, one session.
     #[brw(magic = 20u8)]
-    Beat { front: Front, demand: FrontDemand },
+    Heartbeat {
+        front: RouterStatus,
+        demand: RouterDemand,
+    },
     /// The leader led throughout since this beat was sent, and all that counted
     /// then has gone before this frame.
     #[brw(magic = 21u8)]
@@ -270,11 +273,11 @@
         epoch: u64,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        shares: Vec<Share>,
+        shares: Vec<QuotaGrant>,
     },
     /// A whole view, in place of what the router had.
     #[brw(magic = 22u8)]
-    Picture {
+    Snapshot {
         epoch: u64,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
@@ -291,10 +294,10 @@
     },
     /// Who else is there, as far as the router was not told in this session.
     #[brw(magic = 24u8)]
-    Company(News),
+    RegistryUpdate(RegistryUpdate),
     /// The key alone.
     #[brw(magic = 25u8)]
-    Resolve {
+    LookupRequest {
         number: u64,
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
@@ -307,48 +310,48 @@
         region: String,
     },
     #[brw(magic = 26u8)]
-    Resolved { number: u64, answer: Answer },
+    LookupResponse { number: u64, answer: LookupResponse },
 
     // A forwarded job, one connection each.
     #[brw(magic = 30u8)]
-    Job(JobHead),
+    RequestHead(ForwardedRequest),
     #[brw(magic = 31u8)]
-    Body(
+    RequestBody(
         #[br(parse_with = read_bytes)]
         #[bw(write_with = write_bytes)]
         Vec<u8>,
     ),
     #[brw(magic = 32u8)]
-    BodyEnd,
+    RequestEnd,
     /// The node is there and will take a job: before this frame not a byte of
     /// the job is sent, so a node that froze or went dark costs little.
     #[brw(magic = 39u8)]
-    Welcome,
+    Ready,
     /// The node has what it needs to know; the rest of the body may follow.
     #[brw(magic = 38u8)]
-    Go,
+    Continue,
     /// Ahead of the engine's answer, so that caches fill before it ends.
     #[brw(magic = 33u8)]
-    Mapped(Mapping),
+    Mapping(Mapping),
     #[brw(magic = 34u8)]
-    AnswerHead {
+    ResponseHead {
         status: u16,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         headers: Vec<Header>,
     },
     #[brw(magic = 35u8)]
-    AnswerBody(
+    ResponseBody(
         #[br(parse_with = read_bytes)]
         #[bw(write_with = write_bytes)]
         Vec<u8>,
     ),
     /// The answer is whole. Without this frame it is broken.
     #[brw(magic = 36u8)]
-    AnswerEnd,
+    ResponseEnd,
     /// The node refuses the job, or gave it up.
     #[brw(magic = 37u8)]
-    Declined {
+    Rejected {
         status: u16,
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
@@ -364,7 +367,7 @@
 
     // Router and neighbour.
     #[brw(magic = 40u8)]
-    Look {
+    CacheLookup {
         number: u64,
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
@@ -373,17 +376,17 @@
         epoch: u64,
     },
     #[brw(magic = 41u8)]
-    Seen {
+    CacheResult {
         number: u64,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         mapping: Vec<Mapping>,
     },
     #[brw(magic = 42u8)]
-    Keep(Mapping),
+    CacheStore(Mapping),
     /// What a router has at the engines, and which parts of prompts they keep.
     #[brw(magic = 43u8)]
-    Tidings {
+    LoadGossip {
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         from: String,
@@ -391,10 +394,10 @@
         is_relayed: u8,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        loads: Vec<Load>,
+        loads: Vec<EngineLoad>,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        kept: Vec<Kept>,
+        kept: Vec<CachedPrefix>,
     },
 }
 
@@ -402,7 +405,7 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct Load {
+pub struct EngineLoad {
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub engine: String,
@@ -414,7 +417,7 @@
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct CachedPrefix {
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub engine: String,
@@ -440,20 +443,20 @@
 pub enum PeerRequest {
     /// Does the asked lead, and how far has it come?
     #[brw(magic = 0u8)]
-    Confirm {
+    ReadIndex {
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        demands: Vec<FrontDemand>,
+        demands: Vec<RouterDemand>,
     },
     #[brw(magic = 1u8)]
-    Submit(Proposal),
+    Propose(Proposal),
     #[brw(magic = 2u8)]
-    Admit(Member),
+    AddLearner(Member),
     #[brw(magic = 3u8)]
-    Retire { identity: u64 },
+    RemoveMember { identity: u64 },
     /// This member is about to stop: may it?
     #[brw(magic = 4u8)]
-    Leave { identity: u64 },
+    PrepareToStop { identity: u64 },
 }
 
 #[binrw]
@@ -461,43 +464,43 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerResponse {
     #[brw(magic = 0u8)]
-    Confirmed {
+    ReadIndex {
         index: u64,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        shares: Vec<FrontShares>,
+        shares: Vec<RouterGrants>,
     },
     #[brw(magic = 1u8)]
-    Submitted(Outcome),
+    Proposed(Outcome),
     /// A change of membership counts.
     #[brw(magic = 2u8)]
-    Changed,
+    MembershipChanged,
     #[brw(magic = 3u8)]
     NotLeader,
     #[brw(magic = 4u8)]
     Busy,
     #[brw(magic = 5u8)]
-    Unfit(Name),
+    Rejected(Name),
     /// Leadership was lost meanwhile: it may or may not hold.
     #[brw(magic = 6u8)]
-    Lost,
+    LeadershipLost,
 }
 
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum LookupResponse {
     #[brw(magic = 0u8)]
-    Mapping(Mapping),
+    Found(Mapping),
     #[brw(magic = 1u8)]
-    None { code: Name, text: Name },
+    NotFound { code: Name, text: Name },
     /// The node can't answer for now.
     #[brw(magic = 2u8)]
-    Later,
+    Unavailable,
 }
 
 /// The name of a kind of frame, by the number that it begins with.
-pub fn kind_of(first: u8) -> &'static str {
+pub fn kind_name(first: u8) -> &'static str {
     match first {
         1 => "hello",
         2 => "refused",
@@ -549,7 +552,7 @@
         for bytes in cases {
             assert!(decode(&bytes).is_err(), "{bytes:?}");
         }
-        let mut long = encode(&Frame::BodyEnd)[4..].to_vec();
+        let mut long = encode(&Frame::RequestEnd)[4..].to_vec();
         long.push(0);
         assert!(decode(&long).is_err(), "bytes past the end are refused");
     }
--- a/protocol/tests/formats/frames.rs
+++ b/protocol/tests/formats/frames.rs
@@ -246,8 +246,8 @@
     ]
 }
 
-fn front() -> Front {
-    Front {
+fn front() -> RouterStatus {
+    RouterStatus {
         name: "edge-1".into(),
         region: "north".into(),
         zone: "north-a".into(),
@@ -259,16 +259,16 @@
     }
 }
 
-fn share() -> Share {
-    Share {
+fn share() -> QuotaGrant {
+    QuotaGrant {
         tenant: "ana".into(),
         limit: 9,
         queue_ms: 3,
     }
 }
 
-fn demand() -> FrontDemand {
-    let demand = Demand {
+fn demand() -> RouterDemand {
+    let demand = QuotaDemand {
         tenant: "ana".into(),
         used: 5,
         limit: 9,
@@ -277,7 +277,7 @@
         ahead: 2,
         lately: [1, 2, 3, 4],
     };
-    FrontDemand {
+    RouterDemand {
         front: "edge-1".into(),
         life: 8,
         number: 4,
@@ -288,9 +288,14 @@
 
 /// What each end says first on a connection, and how one is refused.
 pub fn handshake() -> Vec<Frame> {
-    let kinds = [Kind::Directory, Kind::Router, Kind::Job, Kind::Neighbour];
+    let kinds = [
+        ConnectionKind::Peer,
+        ConnectionKind::RouterSession,
+        ConnectionKind::Forwarding,
+        ConnectionKind::CacheSharing,
+    ];
     let hello = |kind| Frame::Hello {
-        epoch: EPOCH,
+        epoch: VERSION,
         kind,
         name: "edge-1".into(),
     };
@@ -303,7 +308,7 @@
 
 fn requests() -> Vec<PeerRequest> {
     let submit = |command| {
-        PeerRequest::Submit(Proposal {
+        PeerRequest::Propose(Proposal {
             id: "s-1".into(),
             base_epoch: 4,
             command,
@@ -317,19 +322,19 @@
                 mode: residency::UpdateMode::Replace,
                 text: "{}".into(),
             }),
-            PeerRequest::Confirm {
+            PeerRequest::ReadIndex {
                 demands: vec![demand()],
             },
-            PeerRequest::Confirm { demands: vec![] },
-            PeerRequest::Admit(member(9)),
-            PeerRequest::Retire { identity: 9 },
-            PeerRequest::Leave { identity: 9 },
+            PeerRequest::ReadIndex { demands: vec![] },
+            PeerRequest::AddLearner(member(9)),
+            PeerRequest::RemoveMember { identity: 9 },
+            PeerRequest::PrepareToStop { identity: 9 },
         ])
         .collect()
 }
 
 fn responses() -> Vec<PeerResponse> {
-    let shares = FrontShares {
+    let shares = RouterGrants {
         front: "edge-1".into(),
         number: 4,
         shares: vec![share(), share()],
@@ -342,17 +347,17 @@
     ];
     outcomes
         .into_iter()
-        .map(PeerResponse::Submitted)
+        .map(PeerResponse::Proposed)
         .chain([
-            PeerResponse::Confirmed {
+            PeerResponse::ReadIndex {
                 index: 9,
                 shares: vec![shares],
             },
-            PeerResponse::Changed,
+            PeerResponse::MembershipChanged,
             PeerResponse::NotLeader,
             PeerResponse::Busy,
-            PeerResponse::Unfit(name("why")),
-            PeerResponse::Lost,
+            PeerResponse::Rejected(name("why")),
+            PeerResponse::LeadershipLost,
         ])
         .collect()
 }
@@ -373,7 +378,7 @@
         deadline_ms: 1_234,
     };
     let mut frames: Vec<Frame> = bodies().into_iter().map(consensus).collect();
-    frames.extend(requests().into_iter().map(|question| Frame::Ask {
+    frames.extend(requests().into_iter().map(|question| Frame::PeerRequest {
         from: 1,
         number: 2,
         validity,
@@ -385,7 +390,7 @@
         reply,
     }));
     frames.extend([
-        Frame::Fronts {
+        Frame::Routers {
             from: 1,
             fronts: vec![front(), front()],
         },
@@ -405,12 +410,12 @@
 
 /// A router's session with a directory node, with what it looks up there.
 pub fn router_session() -> Vec<Frame> {
-    let none = Answer::None {
+    let none = LookupResponse::NotFound {
         code: name("no-place"),
         text: name("nowhere"),
     };
     let mut frames = vec![
-        Frame::Beat {
+        Frame::Heartbeat {
             front: front(),
             demand: demand(),
         },
@@ -419,7 +424,7 @@
             epoch: 9,
             shares: vec![share()],
         },
-        Frame::Picture {
+        Frame::Snapshot {
             epoch: 9,
             events: events(),
         },
@@ -428,21 +433,25 @@
             epoch: 9,
             events: events(),
         },
-        Frame::Company(News {
+        Frame::RegistryUpdate(RegistryUpdate {
             is_first: 1,
             fronts: vec![front()],
             gone: vec![name("edge-2")],
             directories: vec![member(1)],
         }),
-        Frame::Resolve {
+        Frame::LookupRequest {
             number: 3,
             tenant: "ana".into(),
             service: "writer".into(),
             region: "north".into(),
         },
     ];
-    let answers = [Answer::Mapping(mapping()), none, Answer::Later];
-    frames.extend(answers.map(|answer| Frame::Resolved { number: 2, answer }));
+    let answers = [
+        LookupResponse::Found(mapping()),
+        none,
+        LookupResponse::Unavailable,
+    ];
+    frames.extend(answers.map(|answer| Frame::LookupResponse { number: 2, answer }));
     frames
 }
 
@@ -452,7 +461,7 @@
         name: "x-model".into(),
         value: b"writer".to_vec(),
     };
-    let declined = |not_run| Frame::Declined {
+    let declined = |not_run| Frame::Rejected {
         status: 503,
         code: "engines-full".into(),
         text: "full".into(),
@@ -460,7 +469,7 @@
         retry_after_ms: 50,
     };
     vec![
-        Frame::Job(JobHead {
+        Frame::RequestHead(ForwardedRequest {
             id: "j-1".into(),
             method: "POST".into(),
             target: "/app/write".into(),
@@ -470,17 +479,17 @@
             left_ms: 500,
             is_charged: 1,
         }),
-        Frame::Body(b"{\"prompt\":\"x\"}".to_vec()),
-        Frame::BodyEnd,
-        Frame::Welcome,
-        Frame::Go,
-        Frame::Mapped(mapping()),
-        Frame::AnswerHead {
+        Frame::RequestBody(b"{\"prompt\":\"x\"}".to_vec()),
+        Frame::RequestEnd,
+        Frame::Ready,
+        Frame::Continue,
+        Frame::Mapping(mapping()),
+        Frame::ResponseHead {
             status: 200,
             headers: vec![header],
         },
-        Frame::AnswerBody(vec![1; 40]),
-        Frame::AnswerEnd,
+        Frame::ResponseBody(vec![1; 40]),
+        Frame::ResponseEnd,
         declined(true),
         declined(false),
     ]
@@ -489,29 +498,29 @@
 /// Routers among themselves.
 pub fn cache_sharing() -> Vec<Frame> {
     vec![
-        Frame::Look {
+        Frame::CacheLookup {
             number: 1,
             key: "ana/writer".into(),
             epoch: 9,
         },
-        Frame::Seen {
+        Frame::CacheResult {
             number: 1,
             mapping: vec![mapping()],
         },
-        Frame::Seen {
+        Frame::CacheResult {
             number: 1,
             mapping: vec![],
         },
-        Frame::Keep(mapping()),
-        Frame::Tidings {
+        Frame::CacheStore(mapping()),
+        Frame::LoadGossip {
             from: "edge-1".into(),
             is_relayed: 0,
-            loads: vec![Load {
+            loads: vec![EngineLoad {
                 engine: "i-1".into(),
                 jobs: 3,
                 tokens: 99,
             }],
-            kept: vec![Kept {
+            kept: vec![CachedPrefix {
                 engine: "i-1".into(),
                 chain: 77,
             }],
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -10,7 +10,7 @@
 use dropshot::Body;
 use http_body_util::BodyExt;
 use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
-use protocol::{Frame, JobHead, Kind};
+use protocol::{ConnectionKind, ForwardedRequest, Frame};
 use residency::Mapping;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -120,10 +120,16 @@
 /// been sent on it.
 async fn welcomed(router: &Router, node: SocketAddr) -> anyhow::Result<TcpStream> {
     let name = &router.settings.name;
-    let mut stream = link::dial(router.settings.peer_listen_address, node, Kind::Job, name).await?;
-    let answer = link::receive(&mut stream, protocol::HELLO_CAP);
+    let mut stream = link::dial(
+        router.settings.peer_listen_address,
+        node,
+        ConnectionKind::Forwarding,
+        name,
+    )
+    .await?;
+    let answer = link::receive(&mut stream, protocol::MAX_HELLO_BYTES);
     match tokio::time::timeout(WELCOME_PATIENCE, answer).await {
-        Ok(Ok(Some(Frame::Welcome))) => Ok(stream),
+        Ok(Ok(Some(Frame::Ready))) => Ok(stream),
         Ok(Ok(Some(Frame::Refused { text }))) => anyhow::bail!("{node} refuses: {text}"),
         Ok(Ok(_)) => anyhow::bail!("{node} does not take a job"),
         Ok(Err(error)) => Err(error.context(format!("connecting to {node}"))),
@@ -150,7 +156,7 @@
 ) -> anyhow::Result<ForwardOutcome> {
     let mut headers = parts.headers.clone();
     strip_connection_headers(&mut headers);
-    let head = JobHead {
+    let head = ForwardedRequest {
         id: parts.id.clone(),
         method: parts.method.to_string(),
         target: parts.target.clone(),
@@ -160,8 +166,8 @@
         left_ms: parts.deadline.saturating_sub(now()),
         is_charged: permit.is_some().into(),
     };
-    link::send(&mut writer, &Frame::Job(head)).await?;
-    link::send(&mut writer, &Frame::Body(carried.held.to_vec())).await?;
+    link::send(&mut writer, &Frame::RequestHead(head)).await?;
+    link::send(&mut writer, &Frame::RequestBody(carried.held.to_vec())).await?;
     // A job whose key this router read waits for the node's word before the
     // rest follows; one whose key is still to be found is sent on whole.
     let mut way = Some(writer);
@@ -180,8 +186,8 @@
         .map_or("", |pair| pair.1);
     let has_budget = || (router.dispatcher.retry_budget)(service);
     loop {
-        match link::receive(&mut reader, protocol::CAP).await? {
-            Some(Frame::Mapped(found)) => {
+        match link::receive(&mut reader, protocol::MAX_FRAME_BYTES).await? {
+            Some(Frame::Mapping(found)) => {
                 if let Some(permit) = permit {
                     anyhow::ensure!(found.routing_key() == permit.key(), "it mapped another key");
                     permit.publish(&found);
@@ -189,7 +195,7 @@
                 membership::keep(router, &found);
                 mapping = Some(found);
             }
-            Some(Frame::Go) => {
+            Some(Frame::Continue) => {
                 if let Some(rest) = carried.take_rest() {
                     upload = way.take().map(|writer| send_rest(rest, writer));
                 }
@@ -197,7 +203,7 @@
             // Neither the node nor an engine has room, or it can't reach the
             // engine that it elected: the latter's next round is one more, and
             // needs the budget.
-            Some(Frame::Declined {
+            Some(Frame::Rejected {
                 not_run: true,
                 code,
                 ..
@@ -214,7 +220,7 @@
                 }
                 return Ok(ForwardOutcome::Mapping(mapping.expect("looked at above")));
             }
-            Some(Frame::Declined {
+            Some(Frame::Rejected {
                 not_run,
                 status,
                 code,
@@ -229,7 +235,7 @@
                 refusal.retry_after_ms = Some(retry_after_ms).filter(|ms| *ms > 0);
                 return Ok(ForwardOutcome::Refused(refusal));
             }
-            Some(Frame::AnswerHead { status, headers }) => {
+            Some(Frame::ResponseHead { status, headers }) => {
                 let (status, headers) = (
                     http::StatusCode::from_u16(status)?,
                     headers_from_frame(&headers)?,
@@ -265,7 +271,7 @@
 
 async fn send_end(way: &mut Option<OwnedWriteHalf>) -> anyhow::Result<()> {
     match way {
-        Some(writer) => link::send(writer, &Frame::BodyEnd).await,
+        Some(writer) => link::send(writer, &Frame::RequestEnd).await,
         None => Ok(()),
     }
 }
@@ -278,11 +284,11 @@
             while let Some(frame) = rest.frame().await {
                 if let Ok(data) = frame?.into_data() {
                     for piece in data.chunks(512 << 10) {
-                        link::send(&mut writer, &Frame::Body(piece.to_vec())).await?;
+                        link::send(&mut writer, &Frame::RequestBody(piece.to_vec())).await?;
                     }
                 }
             }
-            link::send(&mut writer, &Frame::BodyEnd).await
+            link::send(&mut writer, &Frame::RequestEnd).await
         };
         // A body that broke off closes the way without its end.
         if done.await.is_ok() {
@@ -305,16 +311,16 @@
     async fn run(mut self) -> anyhow::Result<()> {
         let end = loop {
             let frame = tokio::select! {
-                frame = tokio::time::timeout(STREAM_IDLE_TIMEOUT, link::receive(&mut self.reader, protocol::CAP)) => frame,
+                frame = tokio::time::timeout(STREAM_IDLE_TIMEOUT, link::receive(&mut self.reader, protocol::MAX_FRAME_BYTES)) => frame,
                 () = self.pieces.closed() => anyhow::bail!("the client left"),
             };
             match frame {
-                Ok(Ok(Some(Frame::AnswerBody(bytes)))) => {
+                Ok(Ok(Some(Frame::ResponseBody(bytes)))) => {
                     if self.pieces.send(Ok(bytes.into())).await.is_err() {
                         anyhow::bail!("the client left");
                     }
                 }
-                Ok(Ok(Some(Frame::AnswerEnd))) => return Ok(()),
+                Ok(Ok(Some(Frame::ResponseEnd))) => return Ok(()),
                 Ok(Ok(Some(other))) => break anyhow::anyhow!("an unexpected frame: {other:?}"),
                 Ok(Ok(None)) => break anyhow::anyhow!("it closed before the end"),
                 Ok(Err(error)) => break error,
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -11,7 +11,7 @@
 use hyper::body::Body as _;
 use placement::{CacheLookup, ExecutionOutcome, RequestEvent, RequestState, RequestStateMachine};
 use policy::{ExtractedKey, KeyField, RequestHead, Source, Target, BODY_LIMIT_BYTES};
-use protocol::Answer;
+use protocol::LookupResponse;
 use residency::{Mapping, View};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -583,7 +583,7 @@
             .pending_lookups
             .resolve(&tenant, &service, region, RESOLVE_PATIENCE)
             .await;
-        if let Answer::Mapping(mapping) = answer {
+        if let LookupResponse::Found(mapping) = answer {
             membership::keep(&router, &mapping);
             permit.publish(&mapping);
         }
@@ -672,16 +672,16 @@
         .resolve(&keyed.tenant, &keyed.service, region, RESOLVE_PATIENCE)
         .await
     {
-        Answer::Mapping(mapping) => {
+        LookupResponse::Found(mapping) => {
             membership::keep(router, &mapping);
             permit.publish(&mapping);
             Ok(Missed::Mapping(mapping))
         }
-        Answer::None { code, text } => Err(Rejection {
+        LookupResponse::NotFound { code, text } => Err(Rejection {
             outcome: job.outcome(),
             ..rejection::lookup_rejection(&code.0, text.0)
         }),
-        Answer::Later => {
+        LookupResponse::Unavailable => {
             let text = "no directory node can answer for this key now";
             let refusal = Rejection::not_run(503, "no-directory", text);
             Err(Rejection {
@@ -724,7 +724,7 @@
         terms.homes.iter().map(|home| home.0.as_str()).collect()
     });
     let membership = router.membership.read();
-    let mut fronts: Vec<(u8, usize, u32, &protocol::Front)> = membership
+    let mut fronts: Vec<(u8, usize, u32, &protocol::RouterStatus)> = membership
         .fronts()
         .filter(|front| front.is_leaving == 0 && !view.evacuated.contains(&front.zone))
         .filter_map(|front| {
--- a/router/src/load_gossip.rs
+++ b/router/src/load_gossip.rs
@@ -7,7 +7,7 @@
 
 use crate::{membership, Router};
 use placement::News;
-use protocol::{Frame, Front, Kept, Load};
+use protocol::{CachedPrefix, EngineLoad, Frame, RouterStatus};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,16 +21,16 @@
 const AGAIN_MS: u64 = 600;
 
 fn frame(from: &str, is_relayed: bool, news: &News) -> Frame {
-    let load = |(engine, jobs, tokens): &(String, u32, u32)| Load {
+    let load = |(engine, jobs, tokens): &(String, u32, u32)| EngineLoad {
         engine: engine.clone(),
         jobs: *jobs,
         tokens: *tokens,
     };
-    let kept = |(engine, chain): &(String, u64)| Kept {
+    let kept = |(engine, chain): &(String, u64)| CachedPrefix {
         engine: engine.clone(),
         chain: *chain,
     };
-    Frame::Tidings {
+    Frame::LoadGossip {
         from: from.into(),
         is_relayed: is_relayed.into(),
         loads: news.loads.iter().map(load).collect(),
@@ -40,7 +40,7 @@
 
 /// The other routers of this region.
 fn near(router: &Router) -> Vec<SocketAddr> {
-    let is_near = |front: &&Front| {
+    let is_near = |front: &&RouterStatus| {
         front.region == router.settings.region && front.name != router.settings.name
     };
     let membership = router.membership.read();
@@ -55,7 +55,7 @@
 fn far(router: &Router) -> Vec<SocketAddr> {
     let own = policy::stable_hash(router.settings.name.as_bytes());
     let membership = router.membership.read();
-    let mut regions: HashMap<&str, (u64, &Front)> = HashMap::new();
+    let mut regions: HashMap<&str, (u64, &RouterStatus)> = HashMap::new();
     for front in membership
         .fronts()
         .filter(|f| f.region != router.settings.region)
@@ -80,7 +80,13 @@
 
 /// Takes what another router tells, and passes it on where it came from another
 /// region.
-pub fn take(router: &Arc<Router>, from: &str, is_relayed: bool, loads: Vec<Load>, kept: Vec<Kept>) {
+pub fn take(
+    router: &Arc<Router>,
+    from: &str,
+    is_relayed: bool,
+    loads: Vec<EngineLoad>,
+    kept: Vec<CachedPrefix>,
+) {
     let news = News {
         loads: loads
             .into_iter()
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -5,7 +5,7 @@
 use consensus::Member;
 use parking_lot::Mutex;
 use placement::CacheLookup;
-use protocol::{Frame, Front, Kind, News};
+use protocol::{ConnectionKind, Frame, RegistryUpdate, RouterStatus};
 use residency::Mapping;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 const SETTLED_MS: u64 = 1_300;
 
 impl Membership {
-    pub fn take(&mut self, name: &str, news: &News) {
+    pub fn take(&mut self, name: &str, news: &RegistryUpdate) {
         let (at, has_gap) = (now(), now() >= self.told + SETTLED_MS);
         self.known.apply(news);
         let is_listed = self.fronts().any(|front| front.name == name);
@@ -60,7 +60,7 @@
         }
     }
 
-    pub fn fronts(&self) -> impl Iterator<Item = &Front> {
+    pub fn fronts(&self) -> impl Iterator<Item = &RouterStatus> {
         self.known.routers()
     }
 
@@ -94,7 +94,7 @@
 
 /// Other routers of the region that share its cache.
 pub fn neighbours(router: &Router) -> usize {
-    let is_one = |front: &&Front| {
+    let is_one = |front: &&RouterStatus| {
         front.region == router.settings.region
             && front.is_leaving == 0
             && front.name != router.settings.name
@@ -152,7 +152,7 @@
     mut queue: mpsc::Receiver<Frame>,
     looks: Looks,
 ) -> anyhow::Result<()> {
-    let stream = link::dial(source, to, Kind::Neighbour, name).await?;
+    let stream = link::dial(source, to, ConnectionKind::CacheSharing, name).await?;
     let (mut reader, mut writer) = stream.into_split();
     loop {
         tokio::select! {
@@ -161,7 +161,7 @@
                 link::send(&mut writer, &frame).await?;
             }
             frame = link::receive(&mut reader, 1 << 20) => match frame? {
-                Some(Frame::Seen { number, mapping }) => {
+                Some(Frame::CacheResult { number, mapping }) => {
                     if let Some(sender) = looks.lock().remove(&number) {
                         drop(sender.send(mapping.into_iter().next()));
                     }
@@ -187,7 +187,7 @@
     let (sender, receiver) = oneshot::channel();
     neighbour.looks.lock().insert(number, sender);
     let epoch = router.view.borrow().epoch;
-    drop(neighbour.out.try_send(Frame::Look {
+    drop(neighbour.out.try_send(Frame::CacheLookup {
         number,
         key: key.into(),
         epoch,
@@ -219,7 +219,7 @@
         Some(to) => drop(
             neighbour(router, to)
                 .out
-                .try_send(Frame::Keep(mapping.clone())),
+                .try_send(Frame::CacheStore(mapping.clone())),
         ),
     }
 }
@@ -231,12 +231,12 @@
 async fn serve(router: Arc<Router>, mut stream: TcpStream) -> anyhow::Result<()> {
     let (kind, name) = link::accept_handshake(&mut stream).await?;
     anyhow::ensure!(
-        kind == Kind::Neighbour,
+        kind == ConnectionKind::CacheSharing,
         "{name} takes this for a directory node"
     );
     while let Some(frame) = link::receive(&mut stream, 1 << 20).await? {
         match frame {
-            Frame::Look { number, key, epoch } => {
+            Frame::CacheLookup { number, key, epoch } => {
                 // A share that is behind the asking router does not know what is void.
                 let is_behind = router.view.borrow().epoch < epoch;
                 let hit = if is_behind {
@@ -248,10 +248,10 @@
                     CacheLookup::Fresh(mapping) | CacheLookup::Stale(mapping) => vec![mapping],
                     CacheLookup::Miss => Vec::new(),
                 };
-                link::send(&mut stream, &Frame::Seen { number, mapping }).await?;
+                link::send(&mut stream, &Frame::CacheResult { number, mapping }).await?;
             }
-            Frame::Keep(mapping) => router.cache_tiers.insert_regional(&mapping),
-            Frame::Tidings {
+            Frame::CacheStore(mapping) => router.cache_tiers.insert_regional(&mapping),
+            Frame::LoadGossip {
                 from,
                 is_relayed,
                 loads,
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -4,7 +4,7 @@
 use crate::Router;
 use parking_lot::Mutex;
 use placement::{ReplicaUpdate, ReplicaView};
-use protocol::{Answer, Frame, Front, Kind};
+use protocol::{ConnectionKind, Frame, LookupResponse, RouterStatus};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,7 +21,7 @@
 /// A question under way: the key that it is about, and who waits for the answer.
 struct PendingLookup {
     key: String,
-    waiter: oneshot::Sender<Answer>,
+    waiter: oneshot::Sender<LookupResponse>,
 }
 
 /// Lookups under way, and the way out while there is a session. Invariant: a
@@ -50,16 +50,18 @@
         service: &str,
         region: &str,
         patience: Duration,
-    ) -> Answer {
+    ) -> LookupResponse {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let (waiter, receiver) = oneshot::channel();
         let out = self.out.lock().as_ref().map(|(_, out)| out.clone());
-        let Some(out) = out else { return Answer::Later };
+        let Some(out) = out else {
+            return LookupResponse::Unavailable;
+        };
         let key = residency::routing_key(tenant, service);
         self.open
             .lock()
             .insert(number, PendingLookup { key, waiter });
-        let frame = Frame::Resolve {
+        let frame = Frame::LookupRequest {
             number,
             tenant: tenant.into(),
             service: service.into(),
@@ -67,14 +69,14 @@
         };
         if out.try_send(frame).is_err() {
             self.open.lock().remove(&number);
-            return Answer::Later;
+            return LookupResponse::Unavailable;
         }
         let answer = tokio::time::timeout(patience, receiver).await;
         self.open.lock().remove(&number);
         answer
             .ok()
             .and_then(|answer| answer.ok())
-            .unwrap_or(Answer::Later)
+            .unwrap_or(LookupResponse::Unavailable)
     }
 
     /// Hands an answer to whoever waits for it. One that is late or surplus is passed
@@ -82,11 +84,11 @@
     ///
     /// # Errors
     /// The answer is about another key than its question: the node can't be relied on.
-    fn complete(&self, number: u64, answer: Answer) -> anyhow::Result<()> {
+    fn complete(&self, number: u64, answer: LookupResponse) -> anyhow::Result<()> {
         let Some(question) = self.open.lock().remove(&number) else {
             return Ok(());
         };
-        if let Answer::Mapping(mapping) = &answer {
+        if let LookupResponse::Found(mapping) = &answer {
             anyhow::ensure!(
                 mapping.routing_key() == question.key,
                 "it answers for another key"
@@ -171,7 +173,13 @@
 ) -> anyhow::Result<()> {
     let boot = &router.settings;
     replica_view.begin_session();
-    let stream = link::dial(boot.peer_listen_address, way, Kind::Router, &boot.name).await?;
+    let stream = link::dial(
+        boot.peer_listen_address,
+        way,
+        ConnectionKind::RouterSession,
+        &boot.name,
+    )
+    .await?;
     let (mut reader, mut writer) = stream.into_split();
     let (out, mut queue) = mpsc::channel(256);
     *router.pending_lookups.out.lock() = Some((way, out));
@@ -179,7 +187,7 @@
     let (frames, mut incoming) = mpsc::channel(64);
     let reading = tokio::spawn(async move {
         loop {
-            let frame = link::receive(&mut reader, protocol::CAP).await;
+            let frame = link::receive(&mut reader, protocol::MAX_FRAME_BYTES).await;
             let is_last = !matches!(frame, Ok(Some(_)));
             if frames.send(frame).await.is_err() || is_last {
                 return;
@@ -198,7 +206,7 @@
                 anyhow::ensure!(now() < lease_valid + PATIENCE_MS, "no lease comes from it");
                 let number = router.heartbeats.fetch_add(1, Ordering::Relaxed) + 1;
                 replica_view.record_heartbeat(now(), number);
-                let front = Front {
+                let front = RouterStatus {
                     name: boot.name.clone(),
                     region: boot.region.clone(),
                     zone: boot.zone.clone(),
@@ -209,7 +217,7 @@
                     is_leaving: router.is_draining.load(Ordering::Relaxed).into(),
                 };
                 let demand = router.quota.lease_demands(&boot.name, number);
-                let frame = Frame::Beat { front, demand };
+                let frame = Frame::Heartbeat { front, demand };
                 tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(&mut writer, &frame)).await??;
             }
             frame = queue.recv() => {
@@ -235,7 +243,7 @@
 
 fn take(router: &Arc<Router>, replica_view: &mut ReplicaView, frame: Frame) -> anyhow::Result<()> {
     match frame {
-        Frame::Picture { epoch, events } => {
+        Frame::Snapshot { epoch, events } => {
             let taken = replica_view
                 .apply_snapshot(epoch, &events)
                 .map_err(anyhow::Error::msg)?;
@@ -260,8 +268,10 @@
             router.metrics.increment("changes");
             log::info!(epoch = epoch; "in force");
         }
-        Frame::Company(news) => router.membership.write().take(&router.settings.name, &news),
-        Frame::Resolved { number, answer } => router.pending_lookups.complete(number, answer)?,
+        Frame::RegistryUpdate(news) => router.membership.write().take(&router.settings.name, &news),
+        Frame::LookupResponse { number, answer } => {
+            router.pending_lookups.complete(number, answer)?
+        }
         Frame::Refused { text } => anyhow::bail!("it refuses: {text}"),
         other => anyhow::bail!("an unexpected frame: {other:?}"),
     }
--- a/telemetry/src/traffic.rs
+++ b/telemetry/src/traffic.rs
@@ -46,7 +46,7 @@
     let mut sums: BTreeMap<&'static str, [u64; 4]> = BTreeMap::new();
     for kind in 0..KINDS {
         let counts = [&SENT.frames, &SENT.bytes, &RECEIVED.frames, &RECEIVED.bytes];
-        let sum = sums.entry(protocol::kind_of(kind as u8)).or_default();
+        let sum = sums.entry(protocol::kind_name(kind as u8)).or_default();
         for (sum, count) in sum.iter_mut().zip(counts) {
             *sum += count[kind].load(Ordering::Relaxed);
         }
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -8,7 +8,7 @@
 use nix::time::{clock_gettime, ClockId};
 use parking_lot::Mutex;
 use placement::{QuotaTolerance, ReplicaView, RouterMembership};
-use protocol::{Frame, Front, Kind};
+use protocol::{ConnectionKind, Frame, RouterStatus};
 use simd_json::json;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -95,8 +95,8 @@
         }
     }
 
-    fn front(&self) -> Front {
-        Front {
+    fn front(&self) -> RouterStatus {
+        RouterStatus {
             name: self.name.clone(),
             region: self.place.1.clone(),
             zone: self.place.0.clone(),
@@ -150,7 +150,7 @@
                     self.quota.apply_shares(number, until, &shares);
                 }
             }
-            Frame::Picture { epoch, events } => {
+            Frame::Snapshot { epoch, events } => {
                 self.following
                     .apply_snapshot(epoch, &events)
                     .map_err(anyhow::Error::msg)?;
@@ -166,7 +166,7 @@
                     .map_err(anyhow::Error::msg)?;
                 self.note();
             }
-            Frame::Company(news) => self.company.apply(&news),
+            Frame::RegistryUpdate(news) => self.company.apply(&news),
             Frame::Refused { text } => bail!("it refuses: {text}"),
             other => bail!("an unexpected frame: {other:?}"),
         }
@@ -227,7 +227,7 @@
         hollow.sessions += 1;
         (hollow.source, hollow.name.clone())
     };
-    let stream = link::dial(source, way, Kind::Router, &name).await?;
+    let stream = link::dial(source, way, ConnectionKind::RouterSession, &name).await?;
     let (mut reader, mut writer) = stream.into_split();
     let beating = async {
         let mut beat = tokio::time::interval(Duration::from_millis(BEAT_MS));
@@ -246,7 +246,7 @@
                 let number = hollow.beats;
                 hollow.following.record_heartbeat(now(), number);
                 let demand = hollow.quota.lease_demands(&name, number);
-                Frame::Beat {
+                Frame::Heartbeat {
                     front: hollow.front(),
                     demand,
                 }
@@ -259,7 +259,7 @@
         anyhow::Ok(())
     };
     let reading = async {
-        while let Some(frame) = link::receive(&mut reader, protocol::CAP).await? {
+        while let Some(frame) = link::receive(&mut reader, protocol::MAX_FRAME_BYTES).await? {
             hollow.lock().take(frame)?;
         }
         bail!("it closed")
--- a/testbed/tests/cut_leader.rs
+++ b/testbed/tests/cut_leader.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use nix::sys::signal::Signal;
-use protocol::{Answer, Frame, Front, FrontDemand, Header, JobHead};
+use protocol::{ForwardedRequest, Frame, Header, LookupResponse, RouterDemand, RouterStatus};
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
 use std::net::SocketAddr;
@@ -251,16 +251,16 @@
             .await
             .expect("it listens")
     };
-    let mut job = dial(protocol::Kind::Job).await;
-    let welcome = link::receive(&mut job, protocol::CAP)
+    let mut job = dial(protocol::ConnectionKind::Forwarding).await;
+    let welcome = link::receive(&mut job, protocol::MAX_FRAME_BYTES)
         .await
         .expect("a frame");
-    assert_eq!(welcome, Some(Frame::Welcome));
+    assert_eq!(welcome, Some(Frame::Ready));
     let header = |name: &str, value: &str| Header {
         name: name.into(),
         value: value.into(),
     };
-    let head = JobHead {
+    let head = ForwardedRequest {
         id: "under-way".into(),
         method: "POST".into(),
         target: "/app/write".into(),
@@ -270,7 +270,7 @@
         left_ms: 30_000,
         is_charged: 1,
     };
-    link::send(&mut job, &Frame::Job(head))
+    link::send(&mut job, &Frame::RequestHead(head))
         .await
         .expect("it is sent");
 
@@ -287,17 +287,17 @@
     }
     is_no_longer_recent(desk).await;
 
-    link::send(&mut job, &Frame::Body(br#"{"prompt":"x"}"#.to_vec()))
+    link::send(&mut job, &Frame::RequestBody(br#"{"prompt":"x"}"#.to_vec()))
         .await
         .expect("it is sent");
-    link::send(&mut job, &Frame::BodyEnd)
+    link::send(&mut job, &Frame::RequestEnd)
         .await
         .expect("it is sent");
-    match link::receive(&mut job, protocol::CAP)
+    match link::receive(&mut job, protocol::MAX_FRAME_BYTES)
         .await
         .expect("a frame")
     {
-        Some(Frame::Declined {
+        Some(Frame::Rejected {
             code,
             not_run: true,
             ..
@@ -305,8 +305,8 @@
         other => panic!("a job is mapped by old state: {other:?}"),
     }
 
-    let mut session = dial(protocol::Kind::Router).await;
-    let resolve = Frame::Resolve {
+    let mut session = dial(protocol::ConnectionKind::RouterSession).await;
+    let resolve = Frame::LookupRequest {
         number: 1,
         tenant: "ana".into(),
         service: "writer".into(),
@@ -316,11 +316,13 @@
         .await
         .expect("it is sent");
     loop {
-        match link::receive(&mut session, protocol::CAP)
+        match link::receive(&mut session, protocol::MAX_FRAME_BYTES)
             .await
             .expect("a frame")
         {
-            Some(Frame::Resolved { answer, .. }) => break assert_eq!(answer, Answer::Later),
+            Some(Frame::LookupResponse { answer, .. }) => {
+                break assert_eq!(answer, LookupResponse::Unavailable)
+            }
             Some(Frame::Lease { .. }) => panic!("it gives a lease"),
             Some(_) => {}
             None => panic!("it closed"),
@@ -382,9 +384,15 @@
 async fn beat_once(fleet: &Fleet, router: &str, node: SocketAddr) {
     let router = fleet.get(router);
     let source = SocketAddr::from(([127, 0, 0, 1], 0));
-    let dialled = link::dial(source, node, protocol::Kind::Router, &router.name).await;
+    let dialled = link::dial(
+        source,
+        node,
+        protocol::ConnectionKind::RouterSession,
+        &router.name,
+    )
+    .await;
     let mut stream = dialled.expect("the kernel takes it");
-    let front = Front {
+    let front = RouterStatus {
         name: router.name.clone(),
         region: router.region.clone(),
         zone: router.zone.clone(),
@@ -394,14 +402,14 @@
         age_ms: 0,
         is_leaving: 0,
     };
-    let demand = FrontDemand {
+    let demand = RouterDemand {
         front: router.name.clone(),
         life: 1,
         number: 1,
         age_ms: 1_000,
         demands: Vec::new(),
     };
-    link::send(&mut stream, &Frame::Beat { front, demand })
+    link::send(&mut stream, &Frame::Heartbeat { front, demand })
         .await
         .expect("the kernel takes it");
 }
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use parking_lot::Mutex;
-use protocol::{Answer, Frame, Kind, News};
+use protocol::{ConnectionKind, Frame, LookupResponse, RegistryUpdate};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use residency::{Command, Proposal, State, TenantKey, UpdateMode};
@@ -98,8 +98,8 @@
 
     async fn serve(&self, mut stream: TcpStream) -> anyhow::Result<()> {
         match link::accept_handshake(&mut stream).await?.0 {
-            Kind::Router => self.session(stream).await,
-            Kind::Job => self.job(stream).await,
+            ConnectionKind::RouterSession => self.session(stream).await,
+            ConnectionKind::Forwarding => self.job(stream).await,
             kind => anyhow::bail!("{kind:?} has no place here"),
         }
     }
@@ -107,7 +107,7 @@
     async fn session(&self, mut stream: TcpStream) -> anyhow::Result<()> {
         let epoch = self.state.epoch();
         let events = self.state.view.snapshot();
-        link::send(&mut stream, &Frame::Picture { epoch, events }).await?;
+        link::send(&mut stream, &Frame::Snapshot { epoch, events }).await?;
         let address = stream.local_addr()?.to_string();
         let member = consensus::Member {
             identity: 1,
@@ -117,25 +117,25 @@
             address: address.clone(),
             operator_address: address,
         };
-        let news = News {
+        let news = RegistryUpdate {
             is_first: 1,
             fronts: Vec::new(),
             gone: Vec::new(),
             directories: vec![member],
         };
-        link::send(&mut stream, &Frame::Company(news)).await?;
-        while let Some(frame) = link::receive(&mut stream, protocol::CAP).await? {
+        link::send(&mut stream, &Frame::RegistryUpdate(news)).await?;
+        while let Some(frame) = link::receive(&mut stream, protocol::MAX_FRAME_BYTES).await? {
             let answer = match frame {
-                Frame::Beat { demand, .. } => Frame::Lease {
+                Frame::Heartbeat { demand, .. } => Frame::Lease {
                     number: demand.number,
                     epoch,
                     shares: Vec::new(),
                 },
-                Frame::Resolve {
+                Frame::LookupRequest {
                     number, service, ..
-                } => Frame::Resolved {
+                } => Frame::LookupResponse {
                     number,
-                    answer: Answer::Mapping(self.mapping(&service)),
+                    answer: LookupResponse::Found(self.mapping(&service)),
                 },
                 other => anyhow::bail!("an unexpected frame: {other:?}"),
             };
@@ -159,17 +159,17 @@
             Trouble::Close => {}
             Trouble::Silence => std::future::pending().await,
             Trouble::HalfFrame => {
-                let bytes = protocol::encode(&Frame::AnswerBody(vec![0; 100]));
+                let bytes = protocol::encode(&Frame::ResponseBody(vec![0; 100]));
                 stream.write_all(&bytes[..50]).await?;
             }
-            Trouble::Unexpected => link::send(stream, &Frame::BodyEnd).await?,
+            Trouble::Unexpected => link::send(stream, &Frame::RequestEnd).await?,
             Trouble::Foreign => {
                 // And it goes on as if that were right.
-                link::send(stream, &Frame::Mapped(self.mapping("painter"))).await?;
+                link::send(stream, &Frame::Mapping(self.mapping("painter"))).await?;
                 return Ok(false);
             }
             Trouble::Declined { not_run } => {
-                let declined = Frame::Declined {
+                let declined = Frame::Rejected {
                     status: 503,
                     code: "busy".into(),
                     text: "not now".into(),
@@ -190,7 +190,7 @@
         {
             return Ok(());
         }
-        link::send(&mut stream, &Frame::Welcome).await?;
+        link::send(&mut stream, &Frame::Ready).await?;
         let mut first = [0];
         if matches!(stream.peek(&mut first).await, Ok(1..)) {
             self.handed.lock().push(String::new());
@@ -201,7 +201,7 @@
         {
             return Ok(());
         }
-        let Some(Frame::Job(head)) = link::receive(&mut stream, 1 << 20).await? else {
+        let Some(Frame::RequestHead(head)) = link::receive(&mut stream, 1 << 20).await? else {
             anyhow::bail!("it begins without a job");
         };
         *self.handed.lock().last_mut().expect("noted") = head.id;
@@ -211,14 +211,14 @@
         {
             return Ok(());
         }
-        link::send(&mut stream, &Frame::Mapped(self.mapping("writer"))).await?;
+        link::send(&mut stream, &Frame::Mapping(self.mapping("writer"))).await?;
         if self.is_troubled(&mut stream, script, Stage::Mapped).await? {
             return Ok(());
         }
-        link::send(&mut stream, &Frame::Go).await?;
+        link::send(&mut stream, &Frame::Continue).await?;
         while !matches!(
             link::receive(&mut stream, 1 << 20).await?,
-            Some(Frame::BodyEnd) | None
+            Some(Frame::RequestEnd) | None
         ) {}
         if self
             .is_troubled(&mut stream, script, Stage::BodyRead)
@@ -228,7 +228,7 @@
         }
         link::send(
             &mut stream,
-            &Frame::AnswerHead {
+            &Frame::ResponseHead {
                 status: 200,
                 headers: Vec::new(),
             },
@@ -241,21 +241,21 @@
             return Ok(());
         }
         let (half, rest) = OWN.split_at(OWN.len() / 2);
-        link::send(&mut stream, &Frame::AnswerBody(half.to_vec())).await?;
+        link::send(&mut stream, &Frame::ResponseBody(half.to_vec())).await?;
         if self
             .is_troubled(&mut stream, script, Stage::HalfAnswered)
             .await?
         {
             return Ok(());
         }
-        link::send(&mut stream, &Frame::AnswerBody(rest.to_vec())).await?;
+        link::send(&mut stream, &Frame::ResponseBody(rest.to_vec())).await?;
         if self
             .is_troubled(&mut stream, script, Stage::AllButTheEnd)
             .await?
         {
             return Ok(());
         }
-        link::send(&mut stream, &Frame::AnswerEnd).await
+        link::send(&mut stream, &Frame::ResponseEnd).await
     }
 }
 
@@ -471,7 +471,7 @@
         name: name.into(),
         value: value.as_bytes().to_vec(),
     };
-    let head = protocol::JobHead {
+    let head = protocol::ForwardedRequest {
         id: id.into(),
         method: "POST".into(),
         target: "/app/write".into(),
@@ -481,21 +481,21 @@
         left_ms,
         is_charged: 1,
     };
-    let mut frames = vec![Frame::Job(head)];
-    frames.extend((0..5).map(|_| Frame::Body(vec![b'x'; 700])));
-    frames.push(Frame::BodyEnd);
+    let mut frames = vec![Frame::RequestHead(head)];
+    frames.extend((0..5).map(|_| Frame::RequestBody(vec![b'x'; 700])));
+    frames.push(Frame::RequestEnd);
     frames.iter().flat_map(protocol::encode).collect()
 }
 
 async fn welcomed(node: SocketAddr) -> TcpStream {
     let source = SocketAddr::from(([127, 0, 0, 1], 0));
-    let mut stream = link::dial(source, node, Kind::Job, "edge-9")
+    let mut stream = link::dial(source, node, ConnectionKind::Forwarding, "edge-9")
         .await
         .expect("dialled");
-    let frame = link::receive(&mut stream, protocol::HELLO_CAP)
+    let frame = link::receive(&mut stream, protocol::MAX_HELLO_BYTES)
         .await
         .expect("a welcome");
-    assert_eq!(frame, Some(Frame::Welcome));
+    assert_eq!(frame, Some(Frame::Ready));
     stream
 }
 
@@ -518,7 +518,7 @@
             0 => stream.set_zero_linger().expect("it is open"),
             1 => {}
             // A frame that has no place there.
-            2 => drop(stream.write_all(&protocol::encode(&Frame::Welcome)).await),
+            2 => drop(stream.write_all(&protocol::encode(&Frame::Ready)).await),
             _ => {
                 silent.push(stream);
                 cut.push(id);
@@ -540,19 +540,22 @@
                 .await
                 .expect("sent");
             let mut last = None;
-            while let Ok(Ok(Some(frame))) =
-                tokio::time::timeout(PATIENCE, link::receive(&mut stream, protocol::CAP)).await
+            while let Ok(Ok(Some(frame))) = tokio::time::timeout(
+                PATIENCE,
+                link::receive(&mut stream, protocol::MAX_FRAME_BYTES),
+            )
+            .await
             {
                 last = Some(frame);
             }
             match last {
-                Some(Frame::Declined { not_run: true, .. }) if Instant::now() < until => {
+                Some(Frame::Rejected { not_run: true, .. }) if Instant::now() < until => {
                     let events = common::events_of(&fleet, &id);
                     let has_run = events.iter().any(|event| event.starts_with("begun"));
                     assert!(!has_run, "{id} was said not to have run: {events:?}");
                 }
                 last => {
-                    assert_eq!(last, Some(Frame::AnswerEnd), "{id}, {left_ms} ms left");
+                    assert_eq!(last, Some(Frame::ResponseEnd), "{id}, {left_ms} ms left");
                     break id;
                 }
             }
--- a/transport/src/link.rs
+++ b/transport/src/link.rs
@@ -1,7 +1,7 @@
 //! Framed TCP links between rushport's own processes.
 
 use anyhow::{anyhow, bail, Context};
-use protocol::{Frame, Kind};
+use protocol::{ConnectionKind, Frame};
 use std::net::SocketAddr;
 use std::time::Duration;
 use telemetry::traffic;
@@ -35,14 +35,14 @@
 pub async fn dial(
     source: SocketAddr,
     to: SocketAddr,
-    kind: Kind,
+    kind: ConnectionKind,
     name: &str,
 ) -> anyhow::Result<TcpStream> {
     let mut stream = connect(source, to)
         .await
         .with_context(|| format!("dialling {to}"))?;
     let hello = Frame::Hello {
-        epoch: protocol::EPOCH,
+        epoch: protocol::VERSION,
         kind,
         name: name.into(),
     };
@@ -110,21 +110,24 @@
 
 /// Reads the hello of an accepted connection. Another epoch is refused in
 /// words, and the reason returned for the log.
-pub async fn accept_handshake(stream: &mut TcpStream) -> anyhow::Result<(Kind, String)> {
+pub async fn accept_handshake(stream: &mut TcpStream) -> anyhow::Result<(ConnectionKind, String)> {
     stream.set_nodelay(true)?;
-    let frame = tokio::time::timeout(HANDSHAKE_TIMEOUT * 5, receive(stream, protocol::HELLO_CAP))
-        .await
-        .map_err(|_| anyhow!("no hello came"))??;
+    let frame = tokio::time::timeout(
+        HANDSHAKE_TIMEOUT * 5,
+        receive(stream, protocol::MAX_HELLO_BYTES),
+    )
+    .await
+    .map_err(|_| anyhow!("no hello came"))??;
     match frame {
         Some(Frame::Hello {
-            epoch: protocol::EPOCH,
+            epoch: protocol::VERSION,
             kind,
             name,
         }) => Ok((kind, name)),
         Some(Frame::Hello { epoch, name, .. }) => {
             let text = format!(
                 "{name} speaks wire epoch {epoch}, this build speaks {} only",
-                protocol::EPOCH
+                protocol::VERSION
             );
             send(stream, &Frame::Refused { text: text.clone() }).await?;
             Err(anyhow!(text))
--- a/transport/tests/link.rs
+++ b/transport/tests/link.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::sample::Index;
 use proptest::test_runner::{Config, RngSeed};
-use protocol::{Frame, Kind};
+use protocol::{ConnectionKind, Frame};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -47,14 +47,14 @@
 fn sample() -> Vec<Frame> {
     vec![
         Frame::Hello {
-            epoch: protocol::EPOCH,
-            kind: Kind::Job,
+            epoch: protocol::VERSION,
+            kind: ConnectionKind::Forwarding,
             name: "edge-1".into(),
         },
-        Frame::Welcome,
-        Frame::Body(vec![7; 900]),
-        Frame::BodyEnd,
-        Frame::Look {
+        Frame::Ready,
+        Frame::RequestBody(vec![7; 900]),
+        Frame::RequestEnd,
+        Frame::CacheLookup {
             number: 5,
             key: "ana/writer".into(),
             epoch: 3,
@@ -76,9 +76,9 @@
     fn whole_frames_and_then_an_end(piece in 1usize..200, cut in any::<Index>()) {
         let frames = sample();
         let bytes: Vec<u8> = frames.iter().flat_map(protocol::encode).collect();
-        prop_assert_eq!(heard(&bytes, piece, protocol::CAP), (frames.clone(), Ok(())));
+        prop_assert_eq!(heard(&bytes, piece, protocol::MAX_FRAME_BYTES), (frames.clone(), Ok(())));
         let cut = cut.index(bytes.len());
-        let (some, end) = heard(&bytes[..cut], piece, protocol::CAP);
+        let (some, end) = heard(&bytes[..cut], piece, protocol::MAX_FRAME_BYTES);
         prop_assert!(frames.starts_with(&some));
         let whole: usize = some.iter().map(|frame| protocol::encode(frame).len()).sum();
         // Within the four bytes of a length nothing of a frame has come.
@@ -87,7 +87,7 @@
 
     #[test]
     fn any_bytes_end_the_connection(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let (_, end) = heard(&bytes, 64, protocol::HELLO_CAP);
+        let (_, end) = heard(&bytes, 64, protocol::MAX_HELLO_BYTES);
         prop_assert!(end.is_ok() || end.is_err_and(|text| !text.is_empty()));
     }
 
@@ -95,7 +95,7 @@
     #[test]
     fn lengths_beyond_the_cap_are_refused(length in 4_097u32.., rest in 0usize..9) {
         let bytes = [&length.to_be_bytes()[..], &vec![1; rest]].concat();
-        let (frames, end) = heard(&bytes, 64, protocol::HELLO_CAP);
+        let (frames, end) = heard(&bytes, 64, protocol::MAX_HELLO_BYTES);
         prop_assert!(frames.is_empty());
         prop_assert!(end.expect_err("too long").contains("over the cap"));
     }
@@ -110,18 +110,18 @@
         let address = listener.local_addr().expect("bound");
         let hello = |epoch| Frame::Hello {
             epoch,
-            kind: Kind::Router,
+            kind: ConnectionKind::RouterSession,
             name: "edge-1".into(),
         };
-        let newer = protocol::encode(&hello(protocol::EPOCH + 1));
+        let newer = protocol::encode(&hello(protocol::VERSION + 1));
         let cases: Vec<(Vec<u8>, Option<&str>)> = vec![
-            (protocol::encode(&hello(protocol::EPOCH)), None),
+            (protocol::encode(&hello(protocol::VERSION)), None),
             (newer.clone(), Some("wire epoch")),
             (
-                protocol::encode(&hello(protocol::EPOCH - 1)),
+                protocol::encode(&hello(protocol::VERSION - 1)),
                 Some("wire epoch"),
             ),
-            (protocol::encode(&Frame::Welcome), Some("no hello")),
+            (protocol::encode(&Frame::Ready), Some("no hello")),
             (newer[..newer.len() - 1].to_vec(), Some("within a frame")),
             (Vec::new(), Some("closed before a hello")),
             (vec![255; 40], Some("over the cap")),
@@ -137,7 +137,10 @@
             let told = tokio::time::timeout(PATIENCE, link::receive(&mut near, 4_096)).await;
             let told = told.expect("an end");
             match complaint {
-                None => assert_eq!(greeted.expect("greeted"), (Kind::Router, "edge-1".into())),
+                None => assert_eq!(
+                    greeted.expect("greeted"),
+                    (ConnectionKind::RouterSession, "edge-1".into())
+                ),
                 Some(complaint) => {
                     let text = greeted.expect_err(complaint).to_string();
                     assert!(text.contains(complaint), "{text}");
