--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -219,10 +219,10 @@
     };
     let view = control.driver.view.borrow().clone();
     let prompt = policy::Prompt::default();
-    let wanted = placement::Wanted {
+    let wanted = placement::SelectionRequest {
         prompt: &prompt,
         prefix,
-        avoid: &[],
+        tried: &[],
     };
     let (engine, why) = match control
         .dispatcher
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -8,7 +8,9 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper_util::rt::TokioIo;
-use placement::{ExecutionOutcome, RequestEvent, RequestState, RequestStateMachine, Wanted};
+use placement::{
+    ExecutionOutcome, RequestEvent, RequestState, RequestStateMachine, SelectionRequest,
+};
 use policy::Prompt;
 use residency::{Mapping, View};
 use std::net::SocketAddr;
@@ -362,10 +364,10 @@
             if !job.may_attempt(&mut has_budget) {
                 return Err(self.give_up(job, "no further round is allowed"));
             }
-            let wanted = Wanted {
+            let wanted = SelectionRequest {
                 prompt: &parts.prompt,
                 prefix,
-                avoid: &avoid,
+                tried: &avoid,
             };
             let mut seat = match self.seat(&mapping, &wanted, asked, parts.deadline).await {
                 Ok(seat) => seat,
@@ -664,7 +666,7 @@
     async fn seat(
         &self,
         mapping: &Mapping,
-        wanted: &Wanted<'_>,
+        wanted: &SelectionRequest<'_>,
         asked: u64,
         deadline: u64,
     ) -> Result<EngineSlot, Rejection> {
--- a/dispatch/src/engine_tracker.rs
+++ b/dispatch/src/engine_tracker.rs
@@ -5,7 +5,10 @@
 use http_body_util::{BodyExt, Empty};
 use hyper_util::rt::TokioIo;
 use parking_lot::Mutex;
-use placement::{Chosen, Engines, Estimates, News, Vitals, Wanted, SILENCE_MS};
+use placement::{
+    EngineHealthTracker, EngineLoadEstimator, EngineSelection, HealthReport, LoadUpdate,
+    SelectionRequest, HEALTH_REPORT_TIMEOUT_MS,
+};
 use policy::Prompt;
 use residency::{Mapping, View};
 use simd_json::prelude::*;
@@ -35,8 +38,8 @@
 
 /// How engines are known: by their own vitals, or by their answers alone.
 enum Sight {
-    Vitals(Mutex<Engines>),
-    Answers(Mutex<Estimates>),
+    Vitals(Mutex<EngineHealthTracker>),
+    Answers(Mutex<EngineLoadEstimator>),
 }
 
 pub struct EngineTracker {
@@ -72,7 +75,7 @@
                 let mut estimates = estimates.lock();
                 estimates.release(&self.name);
                 if let Some((_, _, tokens)) = self.reading {
-                    estimates.read(&self.name, tokens);
+                    estimates.finish_prefill(&self.name, tokens);
                 }
                 self.engine_tracker.load_changed.notify_one();
             }
@@ -90,8 +93,8 @@
         move || {
             until.is_none_or(|until| now() < until)
                 && match &engine_tracker.sight {
-                    Sight::Vitals(engines) => engines.lock().is_unbroken(&name, losses),
-                    Sight::Answers(estimates) => estimates.lock().is_known(&name),
+                    Sight::Vitals(engines) => engines.lock().is_uninterrupted(&name, losses),
+                    Sight::Answers(estimates) => estimates.lock().contains(&name),
                 }
         }
     }
@@ -102,7 +105,7 @@
         let Sight::Vitals(engines) = &self.engine_tracker.sight else {
             return std::future::pending().await;
         };
-        while !engines.lock().is_gone(now(), &self.name) {
+        while !engines.lock().is_lost(now(), &self.name) {
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
     }
@@ -110,29 +113,29 @@
     /// The engine could not be reached, or broke off.
     pub fn suspect(&self) {
         match &self.engine_tracker.sight {
-            Sight::Vitals(engines) => engines.lock().suspect(&self.name),
-            Sight::Answers(estimates) => estimates.lock().failed(now(), &self.name),
+            Sight::Vitals(engines) => engines.lock().mark_unhealthy(&self.name),
+            Sight::Answers(estimates) => estimates.lock().record_failure(now(), &self.name),
         }
     }
 
     /// It turned the job away.
     pub fn declined(&self) {
         if let Sight::Answers(estimates) = &self.engine_tracker.sight {
-            estimates.lock().declined(now(), &self.name);
+            estimates.lock().record_not_run(now(), &self.name);
         }
     }
 
     /// Another engine answered at its address.
     pub fn ended(&self) {
         if let Sight::Answers(estimates) = &self.engine_tracker.sight {
-            estimates.lock().ended(now(), &self.name);
+            estimates.lock().record_replaced(now(), &self.name);
         }
     }
 
     /// The job's bytes leave.
     pub fn sent(&mut self, prompt: &Prompt) {
         if let Sight::Answers(estimates) = &self.engine_tracker.sight {
-            let (expected, tokens) = estimates.lock().sent(now(), &self.name, prompt);
+            let (expected, tokens) = estimates.lock().record_send(now(), &self.name, prompt);
             self.reading = Some((now(), expected, tokens));
             self.engine_tracker.load_changed.notify_one();
         }
@@ -149,8 +152,8 @@
             (&self.engine_tracker.sight, self.reading.take())
         {
             let mut estimates = estimates.lock();
-            estimates.read(&self.name, tokens);
-            estimates.began(now(), &self.name, expected, now() - at);
+            estimates.finish_prefill(&self.name, tokens);
+            estimates.record_first_event(now(), &self.name, expected, now() - at);
             self.engine_tracker.load_changed.notify_one();
         }
     }
@@ -193,8 +196,8 @@
 
     fn reconcile(self: &Arc<EngineTracker>, view: &View) {
         let (new, gone) = match &self.sight {
-            Sight::Vitals(engines) => engines.lock().follow(now(), view),
-            Sight::Answers(estimates) => (Vec::new(), estimates.lock().follow(now(), view)),
+            Sight::Vitals(engines) => engines.lock().apply_view(now(), view),
+            Sight::Answers(estimates) => (Vec::new(), estimates.lock().apply_view(now(), view)),
         };
         let mut readers = self.readers.lock();
         gone.iter().for_each(|name| drop(readers.remove(name)));
@@ -218,7 +221,7 @@
             }
             // Whatever comes next may be another start of it.
             if let Sight::Vitals(engines) = &self.sight {
-                engines.lock().suspect(&name);
+                engines.lock().mark_unhealthy(&name);
             }
             tokio::time::sleep(jitter(250)).await;
         }
@@ -232,7 +235,7 @@
         let request = hyper::Request::get("/vitals")
             .header("host", address.to_string())
             .body(Empty::new())?;
-        let silence = Duration::from_millis(SILENCE_MS);
+        let silence = Duration::from_millis(HEALTH_REPORT_TIMEOUT_MS);
         let answer = tokio::time::timeout(silence, sender.send_request(request)).await??;
         anyhow::ensure!(answer.status() == 200, "status {}", answer.status());
         let mut body = answer.into_body();
@@ -263,9 +266,9 @@
             let count = given(field).and_then(|count| u32::try_from(count).ok());
             count.ok_or(anyhow::anyhow!("{field} is missing"))
         };
-        let vitals = Vitals {
+        let vitals = HealthReport {
             running: count("running")?,
-            queue: count("queue")?,
+            queued: count("queue")?,
             slots: count("slots")?,
             is_warm: value.get("warm").and_then(|v| v.as_bool()).unwrap_or(true),
             is_draining: value
@@ -276,10 +279,10 @@
             // Without its clock the routers' own cut its slots, each a little
             // differently; it is not left without work.
             uptime_ms: given("uptime_ms").unwrap_or(now()),
-            heard: now(),
+            received_at_ms: now(),
         };
         if let Sight::Vitals(engines) = &self.sight {
-            engines.lock().heard(now(), name, vitals);
+            engines.lock().record_report(now(), name, vitals);
         }
         self.capacity_changed.notify_waiters();
         Ok(())
@@ -290,7 +293,7 @@
         self: &Arc<EngineTracker>,
         view: &View,
         mapping: &Mapping,
-        wanted: &Wanted,
+        wanted: &SelectionRequest,
     ) -> Selection {
         let peers = (self.peers)();
         let me = peers.first().copied().unwrap_or(0);
@@ -298,16 +301,16 @@
             Sight::Vitals(engines) => {
                 engines
                     .lock()
-                    .elect(now(), view, mapping, wanted.prefix, me, &peers)
+                    .select(now(), view, mapping, wanted.prefix, me, &peers)
             }
             Sight::Answers(estimates) => {
                 estimates
                     .lock()
-                    .elect(now(), view, mapping, wanted, me, &peers)
+                    .select(now(), view, mapping, wanted, me, &peers)
             }
         };
         match chosen {
-            Chosen::Engine {
+            EngineSelection::Selected {
                 name,
                 address,
                 zone,
@@ -322,22 +325,22 @@
                 losses,
                 reading: None,
             }),
-            Chosen::Full => Selection::AtCapacity,
-            Chosen::Nobody => Selection::NoneAvailable,
+            EngineSelection::AllFull => Selection::AtCapacity,
+            EngineSelection::NoneEligible => Selection::NoneAvailable,
         }
     }
 
     /// What is to be told to other processes now.
-    pub fn take_load_update(&self) -> News {
+    pub fn take_load_update(&self) -> LoadUpdate {
         match &self.sight {
-            Sight::Vitals(_) => News::default(),
-            Sight::Answers(estimates) => estimates.lock().news(now()),
+            Sight::Vitals(_) => LoadUpdate::default(),
+            Sight::Answers(estimates) => estimates.lock().take_load_update(now()),
         }
     }
 
-    pub fn apply_load_update(&self, from: &str, news: &News) {
+    pub fn apply_load_update(&self, from: &str, news: &LoadUpdate) {
         if let Sight::Answers(estimates) = &self.sight {
-            estimates.lock().told(now(), from, news);
+            estimates.lock().apply_load_update(now(), from, news);
         }
     }
 
@@ -348,7 +351,7 @@
         };
         loop {
             tokio::time::sleep(jitter(PROBE_MS)).await;
-            let due = estimates.lock().suspects(now());
+            let due = estimates.lock().due_probes(now());
             for (name, address) in due {
                 let (engine_tracker, source) = (Arc::clone(&self), self.source);
                 let Ok(address) = address.parse() else {
@@ -357,7 +360,7 @@
                 tokio::spawn(async move {
                     let reached = link::connect(source, address).await;
                     if let (Ok(_), Sight::Answers(estimates)) = (reached, &engine_tracker.sight) {
-                        estimates.lock().reached(&name);
+                        estimates.lock().record_probe_success(&name);
                         engine_tracker.capacity_changed.notify_waiters();
                     }
                 });
@@ -368,8 +371,8 @@
     /// Whether an engine is listed.
     pub fn is_listed(&self, name: &str) -> bool {
         match &self.sight {
-            Sight::Vitals(engines) => engines.lock().is_known(name),
-            Sight::Answers(estimates) => estimates.lock().is_known(name),
+            Sight::Vitals(engines) => engines.lock().contains(name),
+            Sight::Answers(estimates) => estimates.lock().contains(name),
         }
     }
 
@@ -378,18 +381,18 @@
         let list: Vec<simd_json::OwnedValue> = match &self.sight {
             Sight::Vitals(engines) => {
                 let engines = engines.lock();
-                let line = |(name, own, vitals, limit): (&str, u32, Option<Vitals>, u32)| {
+                let line = |(name, own, vitals, limit): (&str, u32, Option<HealthReport>, u32)| {
                     simd_json::json!({
                         "name": name,
                         "own": own,
                         "running": vitals.map(|v| v.running),
                         "slots": vitals.map(|v| v.slots),
                         "limit": limit,
-                        "cold": vitals.map(|v| v.is_cold()),
-                        "silent_ms": vitals.map(|v| now() - v.heard),
+                        "cold": vitals.map(|v| v.is_warming_up()),
+                        "silent_ms": vitals.map(|v| now() - v.received_at_ms),
                     })
                 };
-                engines.list(fill).map(line).collect()
+                engines.statuses(fill).map(line).collect()
             }
             Sight::Answers(estimates) => {
                 let estimates = estimates.lock();
@@ -402,7 +405,7 @@
                         "waits_ms": excess,
                     })
                 };
-                estimates.list(now()).map(line).collect()
+                estimates.statuses(now()).map(line).collect()
             }
         };
         simd_json::OwnedValue::from(list)
--- a/dispatch/src/guard.rs
+++ b/dispatch/src/guard.rs
@@ -44,7 +44,7 @@
         if !self.key.is_empty() && !view.keys.contains_key(&self.key) {
             return Err(GuardError::Key);
         }
-        let may_have = placement::may_have(&view, &self.mapping, &self.engine, &self.address);
+        let may_have = placement::may_serve(&view, &self.mapping, &self.engine, &self.address);
         drop(view);
         (self.permit)(&self.mapping).map_err(GuardError::NotPermitted)?;
         match may_have && (self.is_held)() {
--- a/placement/src/elect.rs
+++ b/placement/src/elect.rs
@@ -31,7 +31,7 @@
 
 /// Elects an engine: tier by tier, within a tier by rank, skipping those at
 /// their limit. `None`: every one of them is.
-pub fn elect(prefix: u64, candidates: &[Candidate]) -> Option<usize> {
+pub fn select_engine(prefix: u64, candidates: &[Candidate]) -> Option<usize> {
     candidates
         .iter()
         .filter(|candidate| candidate.running < candidate.limit)
@@ -55,7 +55,7 @@
 
     #[test]
     fn bounded_load_spills_by_rank_then_by_tier() {
-        let first = |engines: &[Candidate]| elect(7, engines);
+        let first = |engines: &[Candidate]| select_engine(7, engines);
         let free: Vec<Candidate> = (0..4).map(|i| candidate(i, 0, 4, i / 2)).collect();
         let home = first(&free).expect("all are free");
         assert!(home < 2, "the serving cell goes first");
@@ -77,8 +77,8 @@
     fn losing_an_engine_moves_only_its_own_prefixes() {
         let engines: Vec<Candidate> = (0..7).map(|i| candidate(i, 0, 4, 0)).collect();
         for prefix in 0..2000u64 {
-            let before = elect(prefix, &engines).expect("all are free");
-            let after = elect(prefix, &engines[..6]).expect("all are free");
+            let before = select_engine(prefix, &engines).expect("all are free");
+            let after = select_engine(prefix, &engines[..6]).expect("all are free");
             assert!(
                 before == after || before == 6,
                 "prefix {prefix} moved without need"
--- a/placement/src/engines.rs
+++ b/placement/src/engines.rs
@@ -1,15 +1,15 @@
 //! The engines as one process knows them: by the view what they are, by their
 //! vitals how they are, and by its own count what it has there.
 
-use crate::{elect, rank, Candidate, Vitals};
+use crate::{rank, select_engine, Candidate, HealthReport};
 use residency::{Engine, Mapping, View};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Silence of an engine's vitals for this long makes it suspect.
-pub const SILENCE_MS: u64 = 1_500;
+pub const HEALTH_REPORT_TIMEOUT_MS: u64 = 1_500;
 /// Past this much silence an engine that has a job is taken for lost: it gets no
 /// more, and the job's caller is told.
-pub const GONE_MS: u64 = 3 * SILENCE_MS;
+pub const ENGINE_LOST_AFTER_MS: u64 = 3 * HEALTH_REPORT_TIMEOUT_MS;
 /// While an engine is cold its own clock is cut into slots of this length, and
 /// work is begun there only in the first part of each.
 const SLOT_MS: u64 = 500;
@@ -32,12 +32,12 @@
 }
 
 impl Seats {
-    fn heard(&mut self, now: u64, vitals: &Vitals) {
+    fn heard(&mut self, now: u64, vitals: &HealthReport) {
         let slot = vitals.uptime_ms / SLOT_MS;
         if slot != self.slot {
             *self = Seats {
                 slot,
-                taken: vitals.running + vitals.queue,
+                taken: vitals.running + vitals.queued,
                 used: BTreeSet::new(),
                 until: now + OPEN_MS.saturating_sub(vitals.uptime_ms % SLOT_MS),
             };
@@ -64,7 +64,7 @@
 struct Known {
     engine: Engine,
     mark: u64,
-    vitals: Option<Vitals>,
+    vitals: Option<HealthReport>,
     /// When it was last heard, also where its vitals are not trusted now.
     heard: u64,
     own: u32,
@@ -88,9 +88,9 @@
 
 /// What an election gave.
 #[derive(Debug, PartialEq)]
-pub enum Chosen {
+pub enum EngineSelection {
     /// `until`: when the place lapses, unless the job's bytes have left.
-    Engine {
+    Selected {
         name: String,
         address: String,
         zone: String,
@@ -98,14 +98,14 @@
         losses: u64,
     },
     /// All that could take the job are at their limit.
-    Full,
+    AllFull,
     /// No engine that may take it is in sight.
-    Nobody,
+    NoneEligible,
 }
 
 /// Whether a view and a mapping let an engine have a job. Looked at when it is
 /// elected, and again in the last moment before the first byte.
-pub fn may_have(view: &View, mapping: &Mapping, name: &str, address: &str) -> bool {
+pub fn may_serve(view: &View, mapping: &Mapping, name: &str, address: &str) -> bool {
     view.engines.get(name).is_some_and(|engine| {
         // Homes bind whatever a cell's name has come to stand for.
         let is_home = view
@@ -123,14 +123,14 @@
 }
 
 #[derive(Default)]
-pub struct Engines {
+pub struct EngineHealthTracker {
     known: BTreeMap<String, Known>,
 }
 
-impl Engines {
+impl EngineHealthTracker {
     /// Takes the engines of a view; gives those that are new, and the names of
     /// those that are gone or have moved.
-    pub fn follow(&mut self, now: u64, view: &View) -> (Vec<Engine>, Vec<String>) {
+    pub fn apply_view(&mut self, now: u64, view: &View) -> (Vec<Engine>, Vec<String>) {
         let is_same = |name: &str, known: &Known| {
             view.engines
                 .get(name)
@@ -165,7 +165,7 @@
         (new, gone)
     }
 
-    pub fn heard(&mut self, now: u64, name: &str, vitals: Vitals) {
+    pub fn record_report(&mut self, now: u64, name: &str, vitals: HealthReport) {
         if let Some(known) = self.known.get_mut(name) {
             known.seats.heard(now, &vitals);
             known.vitals = Some(vitals);
@@ -176,7 +176,7 @@
 
     /// An engine could not be reached, or its vitals ended: suspect until it is
     /// heard again.
-    pub fn suspect(&mut self, name: &str) {
+    pub fn mark_unhealthy(&mut self, name: &str) {
         if let Some(known) = self.known.get_mut(name) {
             known.vitals = None;
             known.losses += 1;
@@ -185,13 +185,13 @@
     }
 
     /// Whether an engine was heard without a break since it was elected.
-    pub fn is_unbroken(&self, name: &str, losses: u64) -> bool {
+    pub fn is_uninterrupted(&self, name: &str, losses: u64) -> bool {
         self.known
             .get(name)
             .is_some_and(|known| known.losses == losses)
     }
 
-    pub fn is_known(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.known.contains_key(name)
     }
 
@@ -205,16 +205,16 @@
 
     /// Whether an engine has been silent for so long that no answer is to be
     /// expected. One that was only taken off the list may finish.
-    pub fn is_gone(&self, now: u64, name: &str) -> bool {
+    pub fn is_lost(&self, now: u64, name: &str) -> bool {
         self.known
             .get(name)
-            .is_some_and(|known| now > known.heard + GONE_MS)
+            .is_some_and(|known| now > known.heard + ENGINE_LOST_AFTER_MS)
     }
 
     /// Elects an engine for a job among those that view and mapping allow. `me`
     /// and `peers` are the marks of the processes that may begin work at cold
     /// engines.
-    pub fn elect(
+    pub fn select(
         &mut self,
         now: u64,
         view: &View,
@@ -222,7 +222,7 @@
         prefix: u64,
         me: u64,
         peers: &[u64],
-    ) -> Chosen {
+    ) -> EngineSelection {
         let mut candidates = Vec::new();
         let mut found = Vec::new();
         for (name, known) in &self.known {
@@ -231,29 +231,30 @@
                 continue;
             };
             let Some(vitals) = known.vitals else { continue };
-            let is_heard = now < vitals.heard + SILENCE_MS && !vitals.is_draining;
-            if !is_heard || !may_have(view, mapping, name, &engine.address) {
+            let is_heard =
+                now < vitals.received_at_ms + HEALTH_REPORT_TIMEOUT_MS && !vitals.is_draining;
+            if !is_heard || !may_serve(view, mapping, name, &engine.address) {
                 continue;
             }
             let limit = known.limit(view.program.set_points.target_utilization);
-            let place = match vitals.is_cold() {
+            let place = match vitals.is_warming_up() {
                 true => Some(known.seats.free(now, limit, known.mark, me, peers)),
                 false => None,
             };
             candidates.push(Candidate {
                 index: found.len(),
                 mark: known.mark,
-                running: known.own.max(vitals.running + vitals.queue + known.since),
+                running: known.own.max(vitals.running + vitals.queued + known.since),
                 limit: if place == Some(None) { 0 } else { limit },
                 tier,
             });
             found.push((name.clone(), place.flatten()));
         }
         if candidates.is_empty() {
-            return Chosen::Nobody;
+            return EngineSelection::NoneEligible;
         }
-        let Some(index) = elect(prefix, &candidates) else {
-            return Chosen::Full;
+        let Some(index) = select_engine(prefix, &candidates) else {
+            return EngineSelection::AllFull;
         };
         let (name, place) = found.swap_remove(index);
         let known = self
@@ -266,7 +267,7 @@
             known.seats.used.insert(place);
             known.seats.until
         });
-        Chosen::Engine {
+        EngineSelection::Selected {
             address: known.engine.address.clone(),
             zone: view
                 .cells
@@ -280,7 +281,10 @@
     }
 
     /// For operators: name, jobs from here, vitals, limit.
-    pub fn list(&self, fill: f64) -> impl Iterator<Item = (&str, u32, Option<Vitals>, u32)> {
+    pub fn statuses(
+        &self,
+        fill: f64,
+    ) -> impl Iterator<Item = (&str, u32, Option<HealthReport>, u32)> {
         self.known
             .iter()
             .map(move |(name, known)| (&**name, known.own, known.vitals, known.limit(fill)))
@@ -354,10 +358,12 @@
         let mut draw = crate::draws(seed);
         let (view, mapping) = (view(engines), mapping());
         let peers: Vec<u64> = (0..routers as u64).map(|at| rank(7, at)).collect();
-        let mut fleet: Vec<Engines> = (0..routers).map(|_| Engines::default()).collect();
+        let mut fleet: Vec<EngineHealthTracker> = (0..routers)
+            .map(|_| EngineHealthTracker::default())
+            .collect();
         fleet
             .iter_mut()
-            .for_each(|known| drop(known.follow(0, &view)));
+            .for_each(|known| drop(known.apply_view(0, &view)));
         let mut cold: Vec<Cold> = (0..engines)
             .map(|_| Cold {
                 born: draw(5_000),
@@ -365,7 +371,7 @@
                 completed: 0,
             })
             .collect();
-        let mut lines: Vec<(u64, usize, usize, Vitals)> = Vec::new();
+        let mut lines: Vec<(u64, usize, usize, HealthReport)> = Vec::new();
         let mut sent: Vec<(u64, usize, u64)> = Vec::new();
         let mut held: Vec<(u64, usize, usize)> = Vec::new();
         let mut flood = Flood {
@@ -395,15 +401,15 @@
                 }
                 for router in 0..routers {
                     if (now + phases[router * engines + at]).is_multiple_of(100) {
-                        let vitals = Vitals {
+                        let vitals = HealthReport {
                             running: engine.jobs.len() as u32,
-                            queue: 0,
+                            queued: 0,
                             slots: 8,
                             is_warm: engine.completed >= 24,
                             is_draining: false,
                             completed: engine.completed,
                             uptime_ms: now - engine.born,
-                            heard: 0,
+                            received_at_ms: 0,
                         };
                         lines.push((now + 1 + draw(40), router, at, vitals));
                     }
@@ -412,11 +418,11 @@
             let (come, later): (Vec<_>, Vec<_>) = lines.into_iter().partition(|line| line.0 <= now);
             lines = later;
             for (_, router, at, vitals) in come {
-                fleet[router].heard(
+                fleet[router].record_report(
                     now,
                     &format!("engine-{at}"),
-                    Vitals {
-                        heard: now,
+                    HealthReport {
+                        received_at_ms: now,
                         ..vitals
                     },
                 );
@@ -431,8 +437,8 @@
             for _ in 0..3 {
                 let router = draw(routers as u64) as usize;
                 let prefix = draw(u64::MAX);
-                match fleet[router].elect(now, &view, &mapping, prefix, peers[router], &peers) {
-                    Chosen::Engine { name, .. } => {
+                match fleet[router].select(now, &view, &mapping, prefix, peers[router], &peers) {
+                    EngineSelection::Selected { name, .. } => {
                         let at = name["engine-".len()..].parse().expect("its number");
                         let (way, takes) = (1 + draw(60), 50 + draw(900));
                         sent.push((now + way, at, takes));
--- a/placement/src/estimates.rs
+++ b/placement/src/estimates.rs
@@ -2,7 +2,7 @@
 //! by the view what they are, by its own jobs there and their answers how they
 //! are. A job goes where its first event is expected soonest.
 
-use crate::{may_have, rank, Chosen};
+use crate::{may_serve, rank, EngineSelection};
 use policy::Prompt;
 use residency::{Engine, Mapping, View};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -42,11 +42,11 @@
 const COLD_PLACE_MS: u64 = 250;
 
 /// One job as an election sees it.
-pub struct Wanted<'a> {
+pub struct SelectionRequest<'a> {
     pub prompt: &'a Prompt,
     pub prefix: u64,
-    /// Engines that this job has been to.
-    pub avoid: &'a [String],
+    /// EngineHealthTracker that this job has been to.
+    pub tried: &'a [String],
 }
 
 /// One engine. Invariants: `own` counts the jobs that this process has there now;
@@ -139,7 +139,7 @@
 }
 
 #[derive(Default)]
-pub struct Estimates {
+pub struct EngineLoadEstimator {
     known: BTreeMap<String, Known>,
     evacuated: BTreeSet<String>,
     /// Shared parts that were sent to an engine and not told of yet.
@@ -149,21 +149,21 @@
 /// What one process tells the others of the engines: its jobs and the tokens being
 /// read at those where that changed, and shared parts that are kept since.
 #[derive(Debug, Default, PartialEq)]
-pub struct News {
+pub struct LoadUpdate {
     pub loads: Vec<(String, u32, u32)>,
     pub kept: Vec<(String, u64)>,
 }
 
-impl News {
+impl LoadUpdate {
     pub fn is_empty(&self) -> bool {
         self.loads.is_empty() && self.kept.is_empty()
     }
 }
 
-impl Estimates {
+impl EngineLoadEstimator {
     /// Takes the engines of a view; gives the names of those that are gone or
     /// have moved.
-    pub fn follow(&mut self, now: u64, view: &View) -> Vec<String> {
+    pub fn apply_view(&mut self, now: u64, view: &View) -> Vec<String> {
         let is_same = |name: &str, known: &Known| {
             view.engines
                 .get(name)
@@ -206,20 +206,20 @@
     /// Elects the engine from which a job's first event is expected soonest, among
     /// those that view and mapping allow. `me` and `peers` are the marks of the
     /// processes that may begin work at cold engines.
-    pub fn elect(
+    pub fn select(
         &mut self,
         now: u64,
         view: &View,
         mapping: &Mapping,
-        wanted: &Wanted,
+        wanted: &SelectionRequest,
         me: u64,
         peers: &[u64],
-    ) -> Chosen {
+    ) -> EngineSelection {
         let home = mapping.regions.first();
         let mut found: Vec<(f64, u64, String, bool)> = Vec::new();
         let (mut is_any, mut suspects) = (false, Vec::new());
         for (name, known) in &self.known {
-            if !may_have(view, mapping, name, &known.engine.address) {
+            if !may_serve(view, mapping, name, &known.engine.address) {
                 continue;
             }
             is_any = true;
@@ -247,7 +247,7 @@
                 0 => u64::MAX / 2,
                 prefix => rank(prefix, known.mark),
             };
-            let is_avoided = wanted.avoid.iter().any(|avoided| avoided == name)
+            let is_avoided = wanted.tried.iter().any(|avoided| avoided == name)
                 || now < known.full_until
                 || known.failures > 0
                 || now < known.suspect_until;
@@ -270,7 +270,7 @@
             .map(|(_, name, is_cold)| (name, is_cold));
         // Where all have failed lately, the one whose time is nearest, unless the
         // job has been there.
-        suspects.retain(|(_, name, _)| !wanted.avoid.contains(name));
+        suspects.retain(|(_, name, _)| !wanted.tried.contains(name));
         suspects.sort();
         let best = best.or_else(|| {
             suspects
@@ -279,7 +279,11 @@
                 .map(|(_, name, is_cold)| (name, is_cold))
         });
         let Some((name, is_cold)) = best else {
-            return if is_any { Chosen::Full } else { Chosen::Nobody };
+            return if is_any {
+                EngineSelection::AllFull
+            } else {
+                EngineSelection::NoneEligible
+            };
         };
         let known = self
             .known
@@ -295,7 +299,7 @@
             known.next_cold = now + 1_000 * sharers / cold_pace(view, mapping).max(1);
             now + COLD_PLACE_MS
         });
-        Chosen::Engine {
+        EngineSelection::Selected {
             address: known.engine.address.clone(),
             zone: view
                 .cells
@@ -309,7 +313,7 @@
     }
 
     /// What is to be told to others now.
-    pub fn news(&mut self, now: u64) -> News {
+    pub fn take_load_update(&mut self, now: u64) -> LoadUpdate {
         let mut loads = Vec::new();
         for (name, known) in &mut self.known {
             let (jobs, tokens) = (known.own, known.reading as u32);
@@ -321,14 +325,14 @@
             known.said = (jobs, tokens, now);
             loads.push((name.clone(), jobs, tokens));
         }
-        News {
+        LoadUpdate {
             loads,
             kept: std::mem::take(&mut self.kept),
         }
     }
 
     /// Another process tells its news.
-    pub fn told(&mut self, now: u64, from: &str, news: &News) {
+    pub fn apply_load_update(&mut self, now: u64, from: &str, news: &LoadUpdate) {
         for (name, jobs, tokens) in &news.loads {
             if let Some(known) = self.known.get_mut(name) {
                 known.others.retain(|_, (.., at)| now < *at + TOLD_MS);
@@ -346,7 +350,7 @@
 
     /// A job's bytes have left for an engine. Gives the time that its first event
     /// is expected to take, and the tokens that count as being read there.
-    pub fn sent(&mut self, now: u64, name: &str, prompt: &Prompt) -> (f64, f64) {
+    pub fn record_send(&mut self, now: u64, name: &str, prompt: &Prompt) -> (f64, f64) {
         let Some(known) = self.known.get_mut(name) else {
             return (0.0, 0.0);
         };
@@ -367,14 +371,14 @@
     }
 
     /// Its answer began, or it ended without one.
-    pub fn read(&mut self, name: &str, tokens: f64) {
+    pub fn finish_prefill(&mut self, name: &str, tokens: f64) {
         if let Some(known) = self.known.get_mut(name) {
             known.reading = (known.reading - tokens).max(0.0);
         }
     }
 
     /// Its answer began after so long.
-    pub fn began(&mut self, now: u64, name: &str, expected: f64, took: u64) {
+    pub fn record_first_event(&mut self, now: u64, name: &str, expected: f64, took: u64) {
         if let Some(known) = self.known.get_mut(name) {
             let excess = (took as f64 - expected).clamp(0.0, 2_000.0);
             known.excess = known.excess(now) * 0.7 + excess * 0.3;
@@ -384,9 +388,9 @@
         }
     }
 
-    /// Engines that failed, and whose time has come to be looked at: one that can be
+    /// EngineHealthTracker that failed, and whose time has come to be looked at: one that can be
     /// reached gets work again. No job is the one to find out.
-    pub fn suspects(&self, now: u64) -> Vec<(String, String)> {
+    pub fn due_probes(&self, now: u64) -> Vec<(String, String)> {
         let is_due = |known: &&Known| known.failures > 0 && now >= known.suspect_until;
         let due = self.known.values().filter(is_due);
         due.map(|known| (known.engine.name.clone(), known.engine.address.clone()))
@@ -394,14 +398,14 @@
     }
 
     /// It could be reached.
-    pub fn reached(&mut self, name: &str) {
+    pub fn record_probe_success(&mut self, name: &str) {
         if let Some(known) = self.known.get_mut(name) {
             known.failures = 0;
         }
     }
 
     /// It turned a job away.
-    pub fn declined(&mut self, now: u64, name: &str) {
+    pub fn record_not_run(&mut self, now: u64, name: &str) {
         if let Some(known) = self.known.get_mut(name) {
             known.full_until = now + FULL_MS;
         }
@@ -409,14 +413,14 @@
 
     /// Another engine answers at its address: its life has ended, and the list will
     /// say so.
-    pub fn ended(&mut self, now: u64, name: &str) {
+    pub fn record_replaced(&mut self, now: u64, name: &str) {
         if let Some(known) = self.known.get_mut(name) {
             known.suspect_until = now + ENDED_MS;
         }
     }
 
     /// It could not be reached, or broke off.
-    pub fn failed(&mut self, now: u64, name: &str) {
+    pub fn record_failure(&mut self, now: u64, name: &str) {
         if let Some(known) = self.known.get_mut(name) {
             let span = (SUSPECT_MS << known.failures.min(3)).min(SUSPECT_MOST_MS);
             known.failures += 1;
@@ -431,12 +435,12 @@
         }
     }
 
-    pub fn is_known(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.known.contains_key(name)
     }
 
     /// For operators: name, jobs from here, suspect, cold, excess of waiting.
-    pub fn list(&self, now: u64) -> impl Iterator<Item = (&str, u32, bool, bool, u64)> {
+    pub fn statuses(&self, now: u64) -> impl Iterator<Item = (&str, u32, bool, bool, u64)> {
         self.known.iter().map(move |(name, known)| {
             let (is_suspect, is_cold) = (now < known.suspect_until, now < known.cold_until);
             (
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -18,9 +18,11 @@
 pub use allowance::{RetryBudget, RetryLimit};
 pub use cache::{Cache, CacheLookup};
 pub use control::{RetryTokenBucket, SlowStart, RETRY_TOKEN_LIFETIME_MS};
-pub use elect::{elect, rank, Candidate};
-pub use engines::{may_have, Chosen, Engines, GONE_MS, SILENCE_MS};
-pub use estimates::{Estimates, News, Wanted};
+pub use elect::{rank, select_engine, Candidate};
+pub use engines::{
+    may_serve, EngineHealthTracker, EngineSelection, ENGINE_LOST_AFTER_MS, HEALTH_REPORT_TIMEOUT_MS,
+};
+pub use estimates::{EngineLoadEstimator, LoadUpdate, SelectionRequest};
 pub use paces::{AdmissionDecision, QueueingRateLimiter, TokenAllocator};
 pub use pools::{
     LeaseRateLimiter, QuotaLeaseAllocator, QuotaTolerance, QUOTA_LEASE_MS, STARTUP_RESERVE_RATIO,
@@ -33,9 +35,9 @@
 
 /// What an engine said of itself last, and when it was heard.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Vitals {
+pub struct HealthReport {
     pub running: u32,
-    pub queue: u32,
+    pub queued: u32,
     pub slots: u32,
     pub is_warm: bool,
     pub is_draining: bool,
@@ -43,10 +45,10 @@
     /// clock.
     pub completed: u32,
     pub uptime_ms: u64,
-    pub heard: u64,
+    pub received_at_ms: u64,
 }
 
-impl Vitals {
+impl HealthReport {
     pub fn slow_start(&self) -> SlowStart {
         match self.is_warm {
             true => SlowStart::complete(),
@@ -54,7 +56,7 @@
         }
     }
 
-    pub fn is_cold(&self) -> bool {
+    pub fn is_warming_up(&self) -> bool {
         !self.slow_start().is_complete()
     }
 }
--- a/placement/tests/estimates.rs
+++ b/placement/tests/estimates.rs
@@ -1,6 +1,6 @@
 //! Electing by answers alone: where a job goes, and what cold engines get.
 
-use placement::{Chosen, Estimates, Wanted};
+use placement::{EngineLoadEstimator, EngineSelection, SelectionRequest};
 use policy::{Prompt, PromptPart};
 use residency::{Cell, Engine, EngineState, Event, Mapping, Name, ServiceLimits, View, Zone};
 
@@ -79,19 +79,19 @@
 }
 
 fn chosen(
-    estimates: &mut Estimates,
+    estimates: &mut EngineLoadEstimator,
     now: u64,
     view: &View,
     prompt: &Prompt,
-    avoid: &[String],
+    tried: &[String],
 ) -> Option<String> {
-    let wanted = Wanted {
+    let wanted = SelectionRequest {
         prompt,
         prefix: prompt.shared_prefix_hash(),
-        avoid,
+        tried,
     };
-    match estimates.elect(now, view, &mapping(), &wanted, 1, &[1]) {
-        Chosen::Engine { name, .. } => Some(name),
+    match estimates.select(now, view, &mapping(), &wanted, 1, &[1]) {
+        EngineSelection::Selected { name, .. } => Some(name),
         _ => None,
     }
 }
@@ -104,20 +104,20 @@
         engine("c", "north-a", 0),
         engine("far", "south-a", 0),
     ]);
-    let mut estimates = Estimates::default();
-    estimates.follow(1_000, &view);
+    let mut estimates = EngineLoadEstimator::default();
+    estimates.apply_view(1_000, &view);
     let first = chosen(&mut estimates, 1_000, &view, &prompt(7, 1), &[]).expect("all are free");
     assert_ne!(first, "far", "the own region goes first");
-    let (expected, tokens) = estimates.sent(1_000, &first, &prompt(7, 1));
+    let (expected, tokens) = estimates.record_send(1_000, &first, &prompt(7, 1));
     assert!(expected > 50.0 && tokens == 11_000.0);
-    estimates.read(&first, tokens);
-    estimates.began(1_100, &first, expected, 100);
+    estimates.finish_prefill(&first, tokens);
+    estimates.record_first_event(1_100, &first, expected, 100);
     estimates.release(&first);
     // Again with what it keeps, for as long as it is not busy.
     let second = chosen(&mut estimates, 1_200, &view, &prompt(7, 2), &[]).expect("one is free");
     assert_eq!(second, first);
     for own in 0..6 {
-        estimates.sent(1_200, &first, &prompt(9, 100 + own));
+        estimates.record_send(1_200, &first, &prompt(9, 100 + own));
     }
     let third = chosen(&mut estimates, 1_200, &view, &prompt(7, 3), &[]).expect("two are free");
     assert_ne!(
@@ -130,15 +130,15 @@
 #[test]
 fn engines_that_fail_or_decline_are_passed_over_unless_there_is_no_other() {
     let view = view(&[engine("a", "north-a", 0), engine("b", "north-a", 0)]);
-    let mut estimates = Estimates::default();
-    estimates.follow(1_000, &view);
+    let mut estimates = EngineLoadEstimator::default();
+    estimates.apply_view(1_000, &view);
     let (none, job) = (Vec::new(), prompt(3, 1));
-    estimates.failed(1_000, "a");
+    estimates.record_failure(1_000, "a");
     assert_eq!(
         chosen(&mut estimates, 1_001, &view, &job, &none).as_deref(),
         Some("b")
     );
-    estimates.declined(1_001, "b");
+    estimates.record_not_run(1_001, "b");
     let last = chosen(&mut estimates, 1_002, &view, &job, &none);
     assert!(
         last.is_some(),
@@ -147,20 +147,20 @@
     let been = vec!["a".to_string(), "b".to_string()];
     assert_eq!(chosen(&mut estimates, 1_002, &view, &job, &been), None);
     // When its time has come it is looked at, and gets work when it was reached.
-    assert!(estimates.suspects(1_100).is_empty(), "not yet");
-    let due = estimates.suspects(3_000);
+    assert!(estimates.due_probes(1_100).is_empty(), "not yet");
+    let due = estimates.due_probes(3_000);
     assert_eq!(
         due.len(),
         1,
         "the one that failed, not the one that was full"
     );
-    estimates.reached("a");
-    assert!(estimates.suspects(3_001).is_empty());
+    estimates.record_probe_success("a");
+    assert!(estimates.due_probes(3_001).is_empty());
     // A life that ended is another engine; nothing of it is carried over.
     let mut next = view.clone();
     next.apply(&Event::EngineRemoved(Name("a".into())));
     next.apply(&Event::EngineUpdated(engine("a2", "north-a", 0)));
-    assert_eq!(estimates.follow(1_010, &next), vec!["a".to_string()]);
+    assert_eq!(estimates.apply_view(1_010, &next), vec!["a".to_string()]);
     assert_eq!(
         chosen(&mut estimates, 1_011, &next, &job, &none).as_deref(),
         Some("a2")
@@ -176,23 +176,24 @@
         let peers: Vec<u64> = (1..=fleet as u64)
             .map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
             .collect();
-        let mut routers: Vec<Estimates> = (0..fleet).map(|_| Estimates::default()).collect();
+        let mut routers: Vec<EngineLoadEstimator> =
+            (0..fleet).map(|_| EngineLoadEstimator::default()).collect();
         routers
             .iter_mut()
-            .for_each(|router| drop(router.follow(10_000, &cold)));
+            .for_each(|router| drop(router.apply_view(10_000, &cold)));
         let mut begun: Vec<u64> = Vec::new();
         let job = prompt(5, 1);
         for now in 10_000..13_000u64 {
             for (at, router) in routers.iter_mut().enumerate() {
                 // Not all have heard of the newest routers.
                 let known = &peers[..fleet - if at % 2 == 0 { differ } else { 0 }];
-                let wanted = Wanted {
+                let wanted = SelectionRequest {
                     prompt: &job,
                     prefix: 5,
-                    avoid: &[],
+                    tried: &[],
                 };
-                let chosen = router.elect(now, &cold, &mapping(), &wanted, peers[at], known);
-                if matches!(chosen, Chosen::Engine { .. }) {
+                let chosen = router.select(now, &cold, &mapping(), &wanted, peers[at], known);
+                if matches!(chosen, EngineSelection::Selected { .. }) {
                     router.release("a");
                     begun.push(now);
                 }
@@ -213,12 +214,12 @@
 #[test]
 fn the_engines_of_a_zone_given_back_are_taken_for_cold() {
     let mut seen = view(&[engine("a", "north-a", 0)]);
-    let mut estimates = Estimates::default();
-    estimates.follow(1_000, &seen);
+    let mut estimates = EngineLoadEstimator::default();
+    estimates.apply_view(1_000, &seen);
     seen.apply(&Event::ZoneEvacuated("north-a".into()));
-    estimates.follow(2_000, &seen);
+    estimates.apply_view(2_000, &seen);
     seen.apply(&Event::ZoneReinstated("north-a".into()));
-    estimates.follow(9_000, &seen);
+    estimates.apply_view(9_000, &seen);
     let job = prompt(5, 1);
     let many = (0..100).filter(|_| {
         chosen(&mut estimates, 9_001, &seen, &job, &[])
@@ -238,20 +239,23 @@
         engine("b", "north-a", 0),
         engine("far", "south-a", 0),
     ]);
-    let (mut one, mut two) = (Estimates::default(), Estimates::default());
-    one.follow(1_000, &view);
-    two.follow(1_000, &view);
+    let (mut one, mut two) = (
+        EngineLoadEstimator::default(),
+        EngineLoadEstimator::default(),
+    );
+    one.apply_view(1_000, &view);
+    two.apply_view(1_000, &view);
     let first = chosen(&mut one, 1_000, &view, &prompt(7, 1), &[]).expect("all are free");
-    let (expected, tokens) = one.sent(1_000, &first, &prompt(7, 1));
-    let news = one.news(1_010);
+    let (expected, tokens) = one.record_send(1_000, &first, &prompt(7, 1));
+    let news = one.take_load_update(1_010);
     assert_eq!(news.loads, vec![(first.clone(), 1, 11_000)]);
     assert_eq!(
         news.kept,
         vec![(first.clone(), 7)],
         "the shared part, not the job's own"
     );
-    assert!(one.news(1_020).is_empty(), "said once");
-    two.told(1_030, "one", &news);
+    assert!(one.take_load_update(1_020).is_empty(), "said once");
+    two.apply_load_update(1_030, "one", &news);
     // Reading 11,000 tokens there takes a tenth of a second, less than what reading
     // the shared part again would cost.
     let warm = chosen(&mut two, 1_040, &view, &prompt(7, 2), &[]).expect("all are free");
@@ -261,18 +265,18 @@
         other, first,
         "what has nothing kept there goes past the queue"
     );
-    one.read(&first, tokens);
-    one.began(1_100, &first, expected, 100);
+    one.finish_prefill(&first, tokens);
+    one.record_first_event(1_100, &first, expected, 100);
     one.release(&first);
-    let news = one.news(1_110);
+    let news = one.take_load_update(1_110);
     assert_eq!(news.loads, vec![(first.clone(), 0, 0)]);
     // A part that is kept far away alone is worth the way.
-    let mut far = Estimates::default();
-    far.follow(1_000, &view);
-    far.told(
+    let mut far = EngineLoadEstimator::default();
+    far.apply_view(1_000, &view);
+    far.apply_load_update(
         1_000,
         "one",
-        &placement::News {
+        &placement::LoadUpdate {
             loads: vec![],
             kept: vec![("far".into(), 7)],
         },
--- a/router/src/load_gossip.rs
+++ b/router/src/load_gossip.rs
@@ -6,7 +6,7 @@
 //! number. To each other region one router is told, which passes it on there.
 
 use crate::{membership, Router};
-use placement::News;
+use placement::LoadUpdate;
 use protocol::{CachedPrefix, EngineLoad, Frame, RouterStatus};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 /// Told again where nothing changed, so that it is believed on.
 const AGAIN_MS: u64 = 600;
 
-fn frame(from: &str, is_relayed: bool, news: &News) -> Frame {
+fn frame(from: &str, is_relayed: bool, news: &LoadUpdate) -> Frame {
     let load = |(engine, jobs, tokens): &(String, u32, u32)| EngineLoad {
         engine: engine.clone(),
         jobs: *jobs,
@@ -87,7 +87,7 @@
     loads: Vec<EngineLoad>,
     kept: Vec<CachedPrefix>,
 ) {
-    let news = News {
+    let news = LoadUpdate {
         loads: loads
             .into_iter()
             .map(|load| (load.engine, load.jobs, load.tokens))
@@ -116,7 +116,7 @@
 
 /// The loop: news as they come, in batches.
 pub async fn run(router: Arc<Router>) {
-    let mut for_far = News::default();
+    let mut for_far = LoadUpdate::default();
     let mut told_far = transport::now();
     loop {
         let again = Duration::from_millis(AGAIN_MS);
@@ -151,7 +151,7 @@
                 &far(&router),
                 &frame(&router.settings.name, false, &for_far),
             );
-            (for_far, told_far) = (News::default(), transport::now());
+            (for_far, told_far) = (LoadUpdate::default(), transport::now());
         }
     }
 }
--- a/testbed/tests/gate.rs
+++ b/testbed/tests/gate.rs
@@ -265,10 +265,10 @@
     testbed::fleet::wait(patience, "a place", async || {
         let view = views.borrow().clone();
         let prompt = Default::default();
-        let wanted = placement::Wanted {
+        let wanted = placement::SelectionRequest {
             prompt: &prompt,
             prefix: 7,
-            avoid: &[],
+            tried: &[],
         };
         let is_refused = !matches!(
             nobody.select_engine(&view, &mapping(), &wanted),
