--- a/checker/src/ground.rs
+++ b/checker/src/ground.rs
@@ -37,8 +37,8 @@
             paces: book
                 .tenants
                 .iter()
-                .filter(|(_, tenant)| tenant.rate_per_s > 0)
-                .map(|(name, tenant)| (name.clone(), (tenant.rate_per_s, tenant.burst)))
+                .filter(|(_, tenant)| tenant.requests_per_s > 0)
+                .map(|(name, tenant)| (name.clone(), (tenant.requests_per_s, tenant.burst)))
                 .collect(),
             ..Ground::default()
         };
--- a/directory/src/driver/thread/requests.rs
+++ b/directory/src/driver/thread/requests.rs
@@ -135,7 +135,7 @@
                 .view
                 .tenants
                 .get(tenant)
-                .map(|terms| (terms.rate_per_s, terms.burst))
+                .map(|terms| (terms.requests_per_s, terms.burst))
         };
         let routers = self
             .routers
--- a/directory/src/forwarded_requests.rs
+++ b/directory/src/forwarded_requests.rs
@@ -79,7 +79,7 @@
         let terms = view
             .tenants
             .get(&mapping.tenant)
-            .map_or((0, 0), |t| (t.rate_per_s, t.burst));
+            .map_or((0, 0), |t| (t.requests_per_s, t.burst));
         if let Err(refusal) = control
             .quota
             .admit(&mapping.tenant, terms, 0, QUOTA_PATIENCE)
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -52,7 +52,7 @@
     pub listen: SocketAddr,
     /// Where operators reach it.
     pub operator_address: SocketAddr,
-    pub data_dir: PathBuf,
+    pub data_path: PathBuf,
     /// Addresses of directory nodes, in an order that is the same everywhere at
     /// the first start of all.
     pub seeds: Vec<SocketAddr>,
@@ -215,7 +215,7 @@
 
 /// Carries a node out until it is asked to stop. Logs are the caller's to set up.
 pub fn run(settings: Settings, extensions: Extensions) -> anyhow::Result<()> {
-    let folder = settings.data_dir.as_path();
+    let folder = settings.data_path.as_path();
     let data = folder.display();
     std::fs::create_dir_all(folder).with_context(|| format!("data folder {data}"))?;
     let lock = std::fs::File::create(folder.join("lock"))?;
--- a/directory/src/main.rs
+++ b/directory/src/main.rs
@@ -81,7 +81,7 @@
         address,
         listen: reader.address_or("listen", address),
         operator_address: desk,
-        data_dir: reader.text("data").into(),
+        data_path: reader.text("data").into(),
         seeds: reader.addresses("seeds"),
         timing: Timing {
             voters: reader.count("voters", 1, 9) as usize,
--- a/directory/tests/common/mod.rs
+++ b/directory/tests/common/mod.rs
@@ -178,7 +178,7 @@
                 address: at(node, RELAY_PORT),
                 listen: at(node, LISTEN_PORT),
                 operator_address: at(node, OPERATOR_PORT),
-                data_dir: folder.join(format!("data-{node}")),
+                data_path: folder.join(format!("data-{node}")),
                 seeds: (0..NODES).map(|seed| at(seed, RELAY_PORT)).collect(),
                 timing: Timing {
                     election_timeout_ms: ELECTION_MS,
--- a/directory/tests/recorded_data.rs
+++ b/directory/tests/recorded_data.rs
@@ -247,7 +247,7 @@
     } = member(node);
     let address: SocketAddr = address.parse().expect("an address");
     let settings = Settings {
-        data_dir: copy.0.join(&name),
+        data_path: copy.0.join(&name),
         name,
         region,
         zone,
--- a/placement/src/estimates.rs
+++ b/placement/src/estimates.rs
@@ -458,7 +458,7 @@
 fn cold_pace(view: &View, mapping: &Mapping) -> u64 {
     view.services
         .get(&mapping.service)
-        .map_or(0, |traits| traits.warm_up_rate_per_s)
+        .map_or(0, |traits| traits.warm_up_requests_per_s)
 }
 
 /// Whether a process is among those that share a cold engine's pace. All agree on
--- a/placement/tests/estimates.rs
+++ b/placement/tests/estimates.rs
@@ -38,7 +38,7 @@
     let traits = ServiceLimits {
         service: SERVICE.into(),
         max_connections: 0,
-        warm_up_rate_per_s: 17,
+        warm_up_requests_per_s: 17,
         warm_up_ms: 3_000,
     };
     view.apply(&Event::Services(vec![traits]));
--- a/protocol/tests/formats/frames.rs
+++ b/protocol/tests/formats/frames.rs
@@ -138,7 +138,7 @@
 pub fn events() -> Vec<Event> {
     let limits = TenantLimits {
         tenant: "ana".into(),
-        rate_per_s: 5,
+        requests_per_s: 5,
         burst: 9,
         homes: vec![name("north")],
         urgency: 1,
@@ -146,7 +146,7 @@
     let service = ServiceLimits {
         service: "writer".into(),
         max_connections: 9,
-        warm_up_rate_per_s: 3,
+        warm_up_requests_per_s: 3,
         warm_up_ms: 50,
     };
     let rules = "door app at \"/app/\" tenant header \"x-tenant-key\" model header \"x-model\"\n\
--- a/residency/src/state/plan.rs
+++ b/residency/src/state/plan.rs
@@ -297,7 +297,7 @@
         }
         let terms = |(name, tenant): (&String, &topology::Tenant)| TenantLimits {
             tenant: name.clone(),
-            rate_per_s: tenant.rate_per_s,
+            requests_per_s: tenant.requests_per_s,
             burst: tenant.burst,
             homes: tenant.homes.iter().cloned().map(Name).collect(),
             urgency: tenant.urgency.unwrap_or(u8::MAX),
@@ -309,7 +309,7 @@
         let traits = |(name, service): (&String, &topology::Service)| ServiceLimits {
             service: name.clone(),
             max_connections: service.max_connections,
-            warm_up_rate_per_s: service.warm_up_rate_per_s,
+            warm_up_requests_per_s: service.warm_up_requests_per_s,
             warm_up_ms: service.warm_up_ms,
         };
         let traits: Vec<ServiceLimits> = topology.services.iter().map(traits).collect();
--- a/residency/src/topology.rs
+++ b/residency/src/topology.rs
@@ -32,7 +32,7 @@
     /// no bound.
     pub max_connections: u64,
     /// Jobs a second that an engine bears while it is cold; 0 stands for no bound.
-    pub warm_up_rate_per_s: u64,
+    pub warm_up_requests_per_s: u64,
     /// How long an engine stays cold after it came.
     pub warm_up_ms: u64,
 }
@@ -44,7 +44,7 @@
     /// Empty stands for any service.
     pub services: Vec<String>,
     /// Jobs a second; 0 stands for no quota.
-    pub rate_per_s: u64,
+    pub requests_per_s: u64,
     pub burst: u64,
     pub fresh_ms: Option<u64>,
     pub expire_ms: Option<u64>,
@@ -309,7 +309,7 @@
             let service = Service {
                 homes: homes(&mut reader, &place, service),
                 max_connections: reader.count(&place, service, "connections"),
-                warm_up_rate_per_s: reader.count(&place, service, "warm_pace"),
+                warm_up_requests_per_s: reader.count(&place, service, "warm_pace"),
                 warm_up_ms: reader.span(&place, service, "warm").unwrap_or(0),
             };
             topology.services.insert(name.clone(), service);
@@ -328,13 +328,17 @@
                 }
             }
             let keys = reader.digests(&place, tenant, "keys");
-            let rate_per_s = reader.count(&place, tenant, "pace");
+            let requests_per_s = reader.count(&place, tenant, "pace");
             let burst = reader.count(&place, tenant, "burst");
             let tenant = Tenant {
                 homes: homes(&mut reader, &place, tenant),
                 services,
-                rate_per_s,
-                burst: if burst == 0 { rate_per_s * 2 } else { burst },
+                requests_per_s,
+                burst: if burst == 0 {
+                    requests_per_s * 2
+                } else {
+                    burst
+                },
                 fresh_ms: reader.span(&place, tenant, "fresh"),
                 expire_ms: reader.span(&place, tenant, "expire"),
                 urgency: tenant
--- a/residency/src/view.rs
+++ b/residency/src/view.rs
@@ -82,7 +82,7 @@
     #[bw(write_with = write_string)]
     pub service: String,
     pub max_connections: u64,
-    pub warm_up_rate_per_s: u64,
+    pub warm_up_requests_per_s: u64,
     pub warm_up_ms: u64,
 }
 
@@ -212,7 +212,7 @@
     #[bw(write_with = write_string)]
     pub tenant: String,
     /// Jobs a second; 0 stands for no quota.
-    pub rate_per_s: u64,
+    pub requests_per_s: u64,
     pub burst: u64,
     /// Empty stands for any region.
     #[br(parse_with = read_list)]
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -357,7 +357,7 @@
     let terms = view
         .tenants
         .get(&tenant)
-        .map_or((0, 0), |terms| (terms.rate_per_s, terms.burst));
+        .map_or((0, 0), |terms| (terms.requests_per_s, terms.burst));
     let routers = match view.router_count as usize {
         0 => 0,
         known => known.max(router.membership.read().count()),
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -196,7 +196,7 @@
     for _ in 0..jobs {
         let at = (hollow.number * 37 + hollow.asked % spoken) % all;
         hollow.asked += 1;
-        let of = (terms[at].rate_per_s, terms[at].burst);
+        let of = (terms[at].requests_per_s, terms[at].burst);
         let admitted = hollow
             .quota
             .admit(&terms[at].tenant, of, routers, Duration::ZERO);
