--- a/simulator/src/checks.rs
+++ b/simulator/src/invariants.rs
@@ -1,47 +1,24 @@
-//! What a run reports, and the rules that are checked after every step and at
-//! the end.
+//! The rules on leaders, checked after every step, and the agreement of all nodes at the
+//! end.
 
-use super::machine::Machine;
-use super::Simulation;
+use crate::machine::{Machine, MachineIndex};
+use crate::simulation::Simulation;
+use crate::violation::{Failure, Violation};
 use consensus::node::Role;
 use consensus::Member;
 use std::collections::BTreeSet;
 
-/// What is wrong, and when, with the seed that brings it back.
-pub type Verdict = Result<Report, String>;
-
-#[derive(Debug, Default, Clone)]
-pub struct Report {
-    pub acknowledged: usize,
-    pub confirmed: usize,
-    pub elections: usize,
-    pub crashes: usize,
-    pub disks_lost: usize,
-    pub losses: usize,
-    pub machines_replaced: usize,
-    /// The longest time without an acknowledged change, while machines were lost.
-    pub longest_silence_ms: u64,
-    pub operations_answered: usize,
-    pub operations_unanswered: usize,
-    pub snapshots_installed: usize,
-    /// The longest time between two acknowledgements.
-    pub gap_ms: u64,
-}
-
 impl Simulation {
-    /// One line for each machine that is still in use, for whoever reads a failure.
-    pub(super) fn describe_machines(&self) -> Vec<String> {
+    /// One line for each machine that is still in use.
+    pub(crate) fn describe_machines(&self) -> Vec<String> {
         let in_use = self.machines.iter().filter(|machine| !machine.is_gone);
         in_use.map(describe).collect()
     }
 
-    pub(super) fn fail<T>(&self, text: impl std::fmt::Display) -> Result<T, String> {
-        Err(format!("at {} ms: {text}", self.now - 1_000_000))
-    }
-
-    pub(super) fn check(&mut self, at: usize) -> Result<(), String> {
-        let identity = self.machines[at].identity;
-        let Some(live) = self.machines[at].live.as_mut() else {
+    /// One leader a term.
+    pub(crate) fn check_leadership(&mut self, machine: MachineIndex) -> Result<(), Failure> {
+        let identity = self.machines[machine].identity;
+        let Some(live) = self.machines[machine].live.as_mut() else {
             return Ok(());
         };
         let (role, term) = (live.node.role(), live.node.term());
@@ -50,25 +27,28 @@
             if !was_leader {
                 self.report.elections += 1;
             }
-            let known = *self.leaders.entry(term).or_insert(identity);
+            let known = *self.leader_of_term.entry(term).or_insert(identity);
             if known != identity {
-                return self.fail(format!("term {term} has two leaders"));
+                return self.fail(Violation::TwoLeaders { term });
             }
         }
         Ok(())
     }
 
-    pub(super) fn agree(&self) -> Result<(), String> {
+    /// Every node has applied all that was acknowledged, and all states are the same.
+    pub(crate) fn check_convergence(&self) -> Result<(), Failure> {
         let mut states = BTreeSet::new();
-        for (at, machine) in self.machines.iter().enumerate() {
+        for (index, machine) in self.machines.iter().enumerate() {
             let Some(live) = &machine.live else { continue };
-            if live.node.applied_index() < self.acknowledged {
-                let leader = self.leader().and_then(|at| self.machines[at].live.as_ref());
-                return self.fail(format!(
-                    "node-{at} has applied {} of {} acknowledged; last {}, role {:?}, term {}, \
+            if live.node.applied_index() < self.acknowledged_index {
+                let leader = self
+                    .leader()
+                    .and_then(|machine| self.machines[machine].live.as_ref());
+                let description = format!(
+                    "node-{index} has applied {} of {} acknowledged; last {}, role {:?}, term {}, \
                      unsynced writes {}, leader's members {:?}, progress {:?}",
                     live.node.applied_index(),
-                    self.acknowledged,
+                    self.acknowledged_index,
                     live.node.last_index(),
                     live.node.role(),
                     live.node.term(),
@@ -80,7 +60,8 @@
                         .map(|m| m.name.clone())
                         .collect::<Vec<_>>()),
                     leader.map(|l| l.node.progress().collect::<Vec<_>>()),
-                ));
+                );
+                return self.fail(Violation::AcknowledgedEntryMissing { description });
             }
             states.insert(format!(
                 "{:?} {}",
@@ -90,7 +71,9 @@
         }
         match states.len() {
             1 => Ok(()),
-            _ => self.fail(format!("the nodes differ: {states:?}")),
+            _ => self.fail(Violation::StatesDiffer {
+                states: states.into_iter().collect(),
+            }),
         }
     }
 }
--- a/simulator/src/linearizability.rs
+++ b/simulator/src/linearizability.rs
@@ -1,16 +1,16 @@
-//! Judges histories of concurrent calls for linearizability, by the search of
-//! Wing and Gong with the memory of Lowe: is there one order of the calls, each
-//! taking effect at one moment between its start and its end, that a sequential
-//! object would have answered in the same way?
+//! Checks histories of concurrent calls for linearizability, by the search of Wing and Gong
+//! with Lowe's memory of visited positions: is there one order of the calls, each taking
+//! effect at one moment between its start and its end, in which a sequential object gives
+//! the same responses?
 
 use std::collections::HashSet;
 use std::hash::Hash;
 
 /// An object that is called by one caller at a time.
 pub trait SequentialObject: Clone + Eq + Hash {
-    /// What it is asked to do.
+    /// The operations.
     type Operation;
-    /// What it answers.
+    /// Their responses.
     type Response;
 
     /// The object after the operation, if the operation may give this response.
@@ -21,12 +21,14 @@
 /// One call. Times only order the calls' starts and ends; no two are the same.
 #[derive(Clone, Debug)]
 pub struct Call<O, R> {
+    /// What was called.
     pub operation: O,
+    /// When the call began.
     pub invoked: u64,
-    /// The response, and when it was there. `None`: it may have taken effect, or
-    /// may yet, or never will.
+    /// The response, and when it came. `None`: the call may have taken effect, or may yet,
+    /// or never will.
     pub returned: Option<(R, u64)>,
-    /// What takes effect unseen may do so before here only.
+    /// A call without a response takes effect before this moment, or never.
     pub expires: u64,
 }
 
@@ -108,7 +110,7 @@
         }
         let response = call.returned.as_ref().map(|(response, _)| response);
         let object = position.object.step(&call.operation, response)?;
-        // What nobody saw, and what changes nothing, need not have been.
+        // A call without a response that changes nothing need not be placed.
         if response.is_none() && object == position.object {
             return None;
         }
--- a/simulator/src/disk.rs
+++ b/simulator/src/memory_files.rs
@@ -1,6 +1,7 @@
 //! A disk in memory that loses what was not synced when power goes: ends of files,
 //! and files made, renamed or removed since their folder was synced.
 
+use crate::random::draw;
 use consensus::wal::LogStorage;
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
@@ -70,7 +71,7 @@
 }
 
 impl Disk {
-    fn burn(&mut self) -> io::Result<()> {
+    fn use_fuse(&mut self) -> io::Result<()> {
         match &mut self.fuse {
             Some(0) => Err(io::ErrorKind::Interrupted.into()),
             Some(left) => {
@@ -97,7 +98,7 @@
     fn crash(&mut self, share: usize) {
         let mut seed = share as u64 + 1;
         for change in std::mem::take(&mut self.unsynced_changes) {
-            if super::draw(&mut seed, 1000) < share as u64 {
+            if draw(&mut seed, 1000) < share as u64 {
                 apply(&mut self.synced_names, change);
             }
         }
@@ -141,7 +142,7 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let mut disk = self.0.lock();
-        disk.burn()?;
+        disk.use_fuse()?;
         if disk.is_full {
             return Err(io::ErrorKind::StorageFull.into());
         }
@@ -154,7 +155,7 @@
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.0.lock();
-        disk.burn()?;
+        disk.use_fuse()?;
         let content = disk.content(name)?;
         content.synced = content.bytes.len();
         Ok(())
@@ -162,7 +163,7 @@
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let mut disk = self.0.lock();
-        disk.burn()?;
+        disk.use_fuse()?;
         let content = disk.content(name)?;
         content.bytes.truncate(length as usize);
         content.synced = content.synced.min(length as usize);
@@ -171,7 +172,7 @@
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let mut disk = self.0.lock();
-        disk.burn()?;
+        disk.use_fuse()?;
         let inode = disk.names.remove(from).ok_or_else(missing)?;
         disk.names.insert(to.into(), inode);
         let (from, to) = (from.into(), to.into());
@@ -182,7 +183,7 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.0.lock();
-        disk.burn()?;
+        disk.use_fuse()?;
         disk.names.remove(name).ok_or_else(missing)?;
         disk.unsynced_changes
             .push(FolderChange::Removed(name.into()));
@@ -191,7 +192,7 @@
 
     fn sync_directory(&mut self) -> io::Result<()> {
         let mut disk = self.0.lock();
-        disk.burn()?;
+        disk.use_fuse()?;
         disk.unsynced_changes.clear();
         disk.synced_names = disk.names.clone();
         Ok(())
--- a/simulator/src/history.rs
+++ b/simulator/src/operator_history.rs
@@ -1,12 +1,12 @@
-//! What operators sent and were told, and the objects it is judged by: the
-//! configuration, and each zone.
+//! The calls of all operators with their responses, and the sequential objects that they are
+//! checked against: the configuration, and each zone.
 
 use crate::linearizability::{is_linearizable, Call, SequentialObject};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What an operator wants.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Intent {
+pub(crate) enum Intent {
     /// A document on top of another. The same `id` is the same document.
     Change {
         id: String,
@@ -23,21 +23,21 @@
     },
 }
 
-/// What an operator is told.
+/// What an operator is answered.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Response {
-    Taken,
+pub(crate) enum Response {
+    Applied,
     /// It builds on another revision than the one in force.
     Conflict,
     /// Its number is not above the one in force.
-    NotAbove,
+    RevisionNotAbove,
     Revision(u64),
     IsEvacuated(bool),
-    /// Nothing is said of it; it is to be sent again.
-    Later,
+    /// The outcome is unknown; it is to be sent again.
+    RetryLater,
 }
 
-/// A register under compare and set, in which a repeat is known as one.
+/// A compare-and-set register that recognizes repeats.
 #[derive(Clone, PartialEq, Eq, Hash, Default)]
 struct Configuration {
     revision: u64,
@@ -55,22 +55,22 @@
             revision,
         } = operation
         else {
-            let is_right = response.is_none_or(|told| *told == Response::Revision(self.revision));
+            let is_right = response.is_none_or(|seen| *seen == Response::Revision(self.revision));
             return is_right.then(|| self.clone());
         };
         let mut after = self.clone();
         let right = if self.taken.contains(id) {
-            Response::Taken
+            Response::Applied
         } else if *based != self.revision {
             Response::Conflict
         } else if *revision <= self.revision {
-            Response::NotAbove
+            Response::RevisionNotAbove
         } else {
             after.revision = *revision;
             after.taken.insert(id.clone());
-            Response::Taken
+            Response::Applied
         };
-        response.is_none_or(|told| *told == right).then_some(after)
+        response.is_none_or(|seen| *seen == right).then_some(after)
     }
 }
 
@@ -84,11 +84,11 @@
 
     fn step(&self, operation: &Intent, response: Option<&Response>) -> Option<Zone> {
         let (right, after) = match operation {
-            Intent::SetZone { is_evacuated, .. } => (Response::Taken, *is_evacuated),
+            Intent::SetZone { is_evacuated, .. } => (Response::Applied, *is_evacuated),
             _ => (Response::IsEvacuated(self.0), self.0),
         };
         response
-            .is_none_or(|told| *told == right)
+            .is_none_or(|seen| *seen == right)
             .then_some(Zone(after))
     }
 }
@@ -102,10 +102,10 @@
     abandoned_at: u64,
 }
 
-/// The calls of all operators. A change is one call with all its repeats, which
-/// are known as such. Each try of an order for a zone is a call of its own.
+/// The calls of all operators. A change is one call with all its repeats, which the
+/// nodes recognize. Each attempt of an order for a zone is a call of its own.
 #[derive(Default)]
-pub(super) struct History {
+pub(crate) struct History {
     records: Vec<Record>,
     clock: u64,
 }
@@ -116,8 +116,8 @@
         self.clock
     }
 
-    /// Returns the call's place.
-    pub(super) fn invoke(&mut self, intent: Intent) -> usize {
+    /// Returns the call's index.
+    pub(crate) fn invoke(&mut self, intent: Intent) -> usize {
         let invoked = self.tick();
         let call = Call {
             operation: intent,
@@ -133,22 +133,22 @@
     }
 
     /// The operator waits for this call no longer.
-    pub(super) fn abandon(&mut self, place: usize) {
-        self.records[place].abandoned_at = self.tick();
+    pub(crate) fn abandon(&mut self, index: usize) {
+        self.records[index].abandoned_at = self.tick();
     }
 
     /// An order that was begun after others for its zone had been given up fences
     /// them: they took effect before it is answered, or never will.
-    pub(super) fn respond(&mut self, place: usize, response: Response) {
+    pub(crate) fn respond(&mut self, index: usize, response: Response) {
         let now = self.tick();
-        let call = &mut self.records[place].call;
+        let call = &mut self.records[index].call;
         call.returned = Some((response, now));
         let invoked = call.invoked;
         let Intent::SetZone { zone, .. } = call.operation else {
             return;
         };
         let is_same = |operation: &Intent| matches!(operation, Intent::SetZone { zone: other, .. } if *other == zone);
-        for earlier in &mut self.records[..place] {
+        for earlier in &mut self.records[..index] {
             let is_fenced = earlier.abandoned_at < invoked && is_same(&earlier.call.operation);
             if is_fenced && earlier.call.returned.is_none() {
                 earlier.call.expires = earlier.call.expires.min(now);
@@ -156,20 +156,20 @@
         }
     }
 
-    pub(super) fn answered(&self) -> usize {
+    pub(crate) fn answered(&self) -> usize {
         self.records
             .iter()
             .filter(|record| record.call.returned.is_some())
             .count()
     }
 
-    pub(super) fn unanswered(&self) -> usize {
+    pub(crate) fn unanswered(&self) -> usize {
         self.records.len() - self.answered()
     }
 
-    /// Judges the configuration and each zone by itself: linearizability of the
-    /// parts is that of the whole.
-    pub(super) fn judge(&self) -> Result<(), String> {
+    /// Checks the configuration and each zone by itself: a history is linearizable if
+    /// and only if it is so for each object.
+    pub(crate) fn check(&self) -> Result<(), String> {
         let mut configuration = Vec::new();
         let mut zones: BTreeMap<u64, Vec<Call<Intent, Response>>> = BTreeMap::new();
         for Record { call, .. } in &self.records {
@@ -182,13 +182,13 @@
                 }
             }
         }
-        judge_object(
+        check_object(
             "the configuration",
             Configuration::default(),
             &configuration,
         )?;
         for (zone, calls) in zones {
-            judge_object(&format!("zone-{zone}"), Zone(false), &calls)?;
+            check_object(&format!("zone-{zone}"), Zone(false), &calls)?;
         }
         Ok(())
     }
@@ -197,7 +197,7 @@
 type Calls = [Call<Intent, Response>];
 
 /// On failure, says which response can't be explained and what came before it.
-fn judge_object<S>(name: &str, initial: S, calls: &Calls) -> Result<(), String>
+fn check_object<S>(name: &str, initial: S, calls: &Calls) -> Result<(), String>
 where
     S: SequentialObject<Operation = Intent, Response = Response>,
 {
--- a/simulator/tests/simulator.rs
+++ b/simulator/tests/simulator.rs
@@ -1,9 +1,9 @@
 //! Fixed seeds of the simulator. Seeds that once failed stay.
 
 use simulator::{
-    OperatorPlan, PlantedFault, Simulation, Weather, CALM, FULL, LARGE_SITE, OPERATORS,
-    OPERATORS_UNDER_LOSSES, PLANNED_REPLACEMENTS, POWER, REPLACEMENTS, SMALL_SITE, STORM,
-    SUCCESSION,
+    FaultProfile, OperatorPlan, PlantedFault, Simulation, Violation, CALM, FULL_DISKS, LARGE_SITE,
+    LEADER_SUCCESSION, OPERATORS, OPERATORS_UNDER_LOSSES, PLANNED_REPLACEMENTS, POWER_LOSS,
+    REPLACEMENTS, SMALL_SITE, STORM,
 };
 
 #[test]
@@ -23,16 +23,16 @@
     // 2367: a node whose admission was lost with its leader never asked again.
     none_fails((1..=40).chain([2367]).map(|seed| (seed, 5, STORM)));
     // A learner was made a voter while it was blank, and its leader crashed.
-    none_fails([(2180, 3, STORM), (2438, 3, POWER)].into_iter());
+    none_fails([(2180, 3, STORM), (2438, 3, POWER_LOSS)].into_iter());
 }
 
 /// Guards: an acknowledged change is never lost when a machine dies, also not
-/// in the moment after its word.
+/// just after it acknowledged the change.
 #[test]
 fn power_that_fails_after_a_word_takes_nothing_along() {
-    // 6146: a picture that came late took away an entry that its node had
-    // answered for.
-    none_fails((1..=60).chain([6146]).map(|seed| (seed, 3, POWER)));
+    // 6146: a snapshot that came late removed an entry that its node had
+    // acknowledged.
+    none_fails((1..=60).chain([6146]).map(|seed| (seed, 3, POWER_LOSS)));
 }
 
 /// Guards: an acknowledged change is never lost, while leaders come and go and
@@ -40,14 +40,14 @@
 /// an older term.
 #[test]
 fn leaders_that_come_and_go_lose_nothing() {
-    none_fails((1..=30).map(|seed| (seed, 5, SUCCESSION)));
+    none_fails((1..=30).map(|seed| (seed, 5, LEADER_SUCCESSION)));
 }
 
 /// Guards: an acknowledged change is never lost, while disks fill up under their
 /// nodes and are taken back into use without a restart.
 #[test]
 fn disks_that_fill_up_lose_nothing() {
-    none_fails((1..=40).map(|seed| (seed, 5, FULL)));
+    none_fails((1..=40).map(|seed| (seed, 5, FULL_DISKS)));
 }
 
 /// Guards: machines that are replaced at other names and addresses, one after the
@@ -76,43 +76,42 @@
     none_fails_within((1..=6).map(|seed| (seed, 9, LARGE_SITE)), 60_000);
 }
 
-/// Guards: what operators are told of configurations and evacuations is what one
-/// node that never fails would have told them, whichever nodes they asked.
+/// Guards: the responses that operators get on configurations and evacuations are those
+/// of one node that never fails, whichever nodes they ask.
 #[test]
 fn operators_histories_are_linearizable() {
     none_fails((1..=30).map(|seed| (seed, 5, OPERATORS)));
     none_fails((1..=30).map(|seed| (seed, 5, OPERATORS_UNDER_LOSSES)));
 }
 
-/// Operators on a network that holds much back, with a fault planted.
-fn planted_weather(seed: u64, fault: PlantedFault) -> Weather {
-    let weather = [OPERATORS, OPERATORS_UNDER_LOSSES][seed as usize % 2];
-    Weather {
+/// Operators on a network that delays much, with a planted fault.
+fn planted_profile(seed: u64, fault: PlantedFault) -> FaultProfile {
+    let profile = [OPERATORS, OPERATORS_UNDER_LOSSES][seed as usize % 2];
+    FaultProfile {
         loss: 200,
         operators: Some(OperatorPlan {
             count: 4,
             fault: Some(fault),
         }),
-        ..weather
+        ..profile
     }
 }
 
-/// Guards that the judge of histories finds what it is there for: each fault, when
-/// planted in how nodes handle orders, is found within a few seeds from the one that
-/// found it first.
+/// Guards that the check of histories finds faults: each one that is planted in how nodes
+/// handle requests is found within a few seeds from the one that found it first.
 #[test]
 fn planted_faults_are_found_by_the_operators_histories() {
     let planted = [
         (1, PlantedFault::StaleRead),
         (1, PlantedFault::AcknowledgedBeforeCommit),
-        (1, PlantedFault::NewIdentifierPerTry),
+        (1, PlantedFault::NewIdentifierPerAttempt),
     ];
     for (first, fault) in planted {
         let is_found = |seed: u64| {
-            let simulation = Simulation::new(seed, 5, planted_weather(seed, fault));
-            simulation
-                .run(30_000)
-                .is_err_and(|text| text.contains("not linearizable"))
+            let simulation = Simulation::new(seed, 5, planted_profile(seed, fault));
+            simulation.run(30_000).is_err_and(|failure| {
+                matches!(failure.violation, Violation::NotLinearizable { .. })
+            })
         };
         assert!(
             (first..first + 10).any(is_found),
@@ -121,45 +120,49 @@
     }
 }
 
-fn none_fails(runs: impl Iterator<Item = (u64, usize, Weather)>) {
+fn none_fails(runs: impl Iterator<Item = (u64, usize, FaultProfile)>) {
     none_fails_within(runs, 20_000);
 }
 
-fn none_fails_within(runs: impl Iterator<Item = (u64, usize, Weather)>, ms: u64) {
+fn none_fails_within(runs: impl Iterator<Item = (u64, usize, FaultProfile)>, ms: u64) {
     let mut failed = Vec::new();
-    for (seed, nodes, weather) in runs {
-        if let Err(text) = Simulation::new(seed, nodes, weather).run(ms) {
+    for (seed, nodes, profile) in runs {
+        if let Err(text) = Simulation::new(seed, nodes, profile).run(ms) {
             failed.push(format!("seed {seed}: {text}"));
         }
     }
     assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
 
-/// What the sweep runs a seed in: `WEATHER` names it, else it goes by the seed.
-fn swept_weather(seed: u64) -> (usize, Weather) {
-    let name = std::env::var("WEATHER").unwrap_or_default();
-    let planted = |fault| (5, planted_weather(seed, fault));
+/// The fault profile of a seed in the sweep: `PROFILE` names it, else it follows from the seed.
+fn swept_profile(seed: u64) -> (usize, FaultProfile) {
+    assert!(
+        std::env::var_os("WEATHER").is_none(),
+        "WEATHER is called PROFILE now"
+    );
+    let name = std::env::var("PROFILE").unwrap_or_default();
+    let planted = |fault| (5, planted_profile(seed, fault));
     match name.as_str() {
         "" => (
             3 + 2 * (seed as usize % 2),
-            [STORM, POWER, SUCCESSION][seed as usize / 2 % 3],
+            [STORM, POWER_LOSS, LEADER_SUCCESSION][seed as usize / 2 % 3],
         ),
         "replacements" => (5, [REPLACEMENTS, PLANNED_REPLACEMENTS][seed as usize % 2]),
         "small" => (5, SMALL_SITE),
         "large" => (9, LARGE_SITE),
-        "full" => (5, FULL),
+        "full" => (5, FULL_DISKS),
         "operators" => (5, [OPERATORS, OPERATORS_UNDER_LOSSES][seed as usize % 2]),
         "stale-read" => planted(PlantedFault::StaleRead),
         "early-acknowledgement" => planted(PlantedFault::AcknowledgedBeforeCommit),
         "unfenced" => planted(PlantedFault::UnfencedEvacuation),
         "resubmitted" => planted(PlantedFault::ResubmittedAfterConflict),
-        "new-identifier" => planted(PlantedFault::NewIdentifierPerTry),
-        other => panic!("there is no weather {other}"),
+        "new-identifier" => planted(PlantedFault::NewIdentifierPerAttempt),
+        other => panic!("there is no profile {other}"),
     }
 }
 
 /// Run by hand, over as many seeds as one likes:
-/// `SEEDS=1000-2000 WEATHER=small cargo test --release -p simulator --test simulator -- --ignored`.
+/// `SEEDS=1000-2000 PROFILE=small cargo test --release -p simulator --test simulator -- --ignored`.
 #[test]
 #[ignore = "a sweep, for whoever has the time"]
 fn sweep() {
@@ -173,8 +176,8 @@
             let part = part.to_vec();
             std::thread::spawn(move || {
                 let run = |seed: &u64| {
-                    let (nodes, weather) = swept_weather(*seed);
-                    Simulation::new(*seed, nodes, weather)
+                    let (nodes, profile) = swept_profile(*seed);
+                    Simulation::new(*seed, nodes, profile)
                         .run(30_000)
                         .map_err(|e| (*seed, e))
                 };
