--- a/consensus/src/codec.rs
+++ b/consensus/src/codec.rs
@@ -1,5 +1,5 @@
-//! How texts, byte runs and lists lie in binrw frames and records: a 32-bit
-//! count, then the content. A count is never trusted to reserve memory.
+//! Strings, byte strings and lists in binrw layouts: a 32-bit count, big-endian, then
+//! the content. A count that was read never reserves memory before the content is there.
 
 use binrw::{BinRead, BinResult, BinWrite, Endian};
 use std::io::{Cursor, Read, Seek, Write};
@@ -7,13 +7,13 @@
 /// Reads a byte string: its length, then its bytes.
 #[binrw::parser(reader, endian)]
 pub fn read_bytes() -> BinResult<Vec<u8>> {
-    let place = reader.stream_position()?;
+    let position = reader.stream_position()?;
     let length = u32::read_options(reader, endian, ())?;
     let mut bytes = Vec::new();
     let read = reader.take(u64::from(length)).read_to_end(&mut bytes)?;
     if read < length as usize {
         return Err(binrw::Error::AssertFail {
-            pos: place,
+            pos: position,
             message: format!("{length} bytes are announced and {read} are there"),
         });
     }
@@ -33,10 +33,10 @@
 /// Reads a UTF-8 string: its length in bytes, then its bytes.
 #[binrw::parser(reader, endian)]
 pub fn read_string() -> BinResult<String> {
-    let place = reader.stream_position()?;
+    let position = reader.stream_position()?;
     let bytes = read_bytes(reader, endian, ())?;
     String::from_utf8(bytes).map_err(|_| binrw::Error::AssertFail {
-        pos: place,
+        pos: position,
         message: "this text is not UTF-8".into(),
     })
 }
@@ -76,19 +76,22 @@
     Ok(())
 }
 
-/// Encodes one item, big-endian. Invariant: writing to memory cannot fail, so this
-/// never does.
+/// Encodes one item, big-endian. Invariant: writing to memory cannot fail, and neither
+/// can this.
 pub fn to_bytes<T>(item: &T) -> Vec<u8>
 where
     T: for<'a> BinWrite<Args<'a> = ()>,
 {
     let mut cursor = Cursor::new(Vec::new());
     item.write_options(&mut cursor, Endian::Big, ())
-        .expect("memory takes what is written");
+        .expect("writing to memory cannot fail");
     cursor.into_inner()
 }
 
 /// Decodes one item that fills `bytes` to the last.
+///
+/// # Errors
+/// A sentence that says what was expected and at which position.
 pub fn from_bytes<T>(bytes: &[u8]) -> Result<T, String>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
--- a/consensus/src/node/membership.rs
+++ b/consensus/src/node/membership.rs
@@ -1,8 +1,10 @@
 //! Changes of membership: one at a time, each settled before the next.
 
 use super::{Effect, MembershipChangeError, Node, RequestError, Role, Token};
-use crate::repair::{self, MemberHealth, MembershipChange, NoChange, RepairPolicy};
-use crate::{Entry, EntryPayload, HardState, LogIndex, Member, Membership, NodeId};
+use crate::repair::{self, MemberHealth, NoChange, RepairPolicy};
+use crate::{
+    Entry, EntryPayload, HardState, LogIndex, Member, Membership, MembershipChange, NodeId,
+};
 
 /// A learner may be so many committed entries behind when it is made a voter: it has
 /// them within a round trip.
--- a/consensus/src/repair.rs
+++ b/consensus/src/repair.rs
@@ -6,7 +6,7 @@
 //! number of voters never falls below what it was. Voters are spread so that the
 //! loss of one zone or region leaves a majority wherever the members allow it.
 
-use crate::{Member, NodeId};
+use crate::{Member, MembershipChange, NodeId};
 use std::collections::BTreeMap;
 
 /// How a member stands, as its leader knows it.
@@ -34,17 +34,6 @@
     pub remove_learner_after_ms: u64,
 }
 
-/// One change of membership.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum MembershipChange {
-    /// A learner becomes a voter.
-    PromoteLearner(NodeId),
-    /// A voter becomes a learner; it keeps its identity and its disk.
-    DemoteVoter(NodeId),
-    /// A learner leaves the list; it may be added again.
-    RemoveLearner(NodeId),
-}
-
 /// Why no change is made.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum NoChange {
--- a/consensus/tests/repair.rs
+++ b/consensus/tests/repair.rs
@@ -1,7 +1,7 @@
 //! Which change of membership comes next: a table.
 
-use consensus::repair::{next_change, MemberHealth, MembershipChange, NoChange, RepairPolicy};
-use consensus::Member;
+use consensus::repair::{next_change, MemberHealth, NoChange, RepairPolicy};
+use consensus::{Member, MembershipChange};
 
 const POLICY: RepairPolicy = RepairPolicy {
     voters: 5,
