--- a/directory/src/driver/thread/mod.rs
+++ b/directory/src/driver/thread/mod.rs
@@ -241,7 +241,10 @@
                     asked_at_ms: sent.asked_at_ms,
                 };
                 match reply {
-                    PeerResponse::ReadIndex { index, shares } => {
+                    PeerResponse::ReadIndex {
+                        index,
+                        grants: shares,
+                    } => {
                         self.confirmed_reads.push((index, waiter, shares));
                         self.complete_reads();
                     }
@@ -397,7 +400,7 @@
 
     fn publish_events(&mut self, prior: u64, epoch: u64, events: Vec<Event>) {
         let frame = Frame::Change {
-            prior,
+            base_epoch: prior,
             epoch,
             events,
         };
--- a/directory/src/driver/thread/requests.rs
+++ b/directory/src/driver/thread/requests.rs
@@ -64,9 +64,9 @@
         self.sent_requests.insert(number, sent);
         let frame = Frame::PeerRequest {
             from: self.local_member.identity,
-            number,
+            request_id: number,
             validity,
-            question,
+            request: question,
         };
         self.peers.send(&leader.address, frame);
     }
@@ -156,9 +156,9 @@
                 self.peers.send_to(
                     to,
                     Frame::PeerResponse {
-                        number,
+                        request_id: number,
                         clock_ms: now(),
-                        reply,
+                        response: reply,
                     },
                 );
             }
@@ -186,7 +186,13 @@
                 }
                 Waiter::Peer(..) => index,
             };
-            self.respond(waiter, PeerResponse::ReadIndex { index, shares });
+            self.respond(
+                waiter,
+                PeerResponse::ReadIndex {
+                    index,
+                    grants: shares,
+                },
+            );
         }
     }
 
--- a/directory/src/forwarded_requests.rs
+++ b/directory/src/forwarded_requests.rs
@@ -74,7 +74,7 @@
         Ok(found) => found,
         Err(refusal) => return link::send(&mut writer, &declined(&refusal)).await,
     };
-    if head.is_charged == 0 {
+    if head.is_quota_charged == 0 {
         let view = control.driver.view.borrow().clone();
         let terms = view
             .tenants
@@ -123,7 +123,7 @@
         target: head.target.clone(),
         headers: headers_from_frame(&head.headers)?,
         key,
-        deadline: now().saturating_add(head.left_ms),
+        deadline: now().saturating_add(head.remaining_ms),
         prompt: Prompt::default(),
         urgency: None,
         aim_ms: 0,
@@ -292,7 +292,7 @@
         return refuse(400, "no-model", "no model is to be found in this job");
     };
     // Looked at after the body, which may have taken long to come.
-    let Some(resolved) = control.driver.resolve(tenant, service, &head.region) else {
+    let Some(resolved) = control.driver.resolve(tenant, service, &head.client_region) else {
         return Ok(Err(no_lease_refusal()));
     };
     Ok(match resolved {
--- a/directory/src/operator_api.rs
+++ b/directory/src/operator_api.rs
@@ -123,10 +123,10 @@
                 "name": front.name.clone(),
                 "region": front.region.clone(),
                 "zone": front.zone.clone(),
-                "door": front.door.clone(),
+                "door": front.client_address.clone(),
                 "epoch": front.epoch,
                 "age_ms": front.age_ms,
-                "leaving": front.is_leaving != 0,
+                "leaving": front.is_draining != 0,
             })
         })
         .collect();
--- a/directory/src/peers.rs
+++ b/directory/src/peers.rs
@@ -58,7 +58,10 @@
     }
 
     pub fn send(self: &Arc<PeerConnections>, address: &str, frame: Frame) {
-        if let Frame::PeerRequest { number, .. } = &frame {
+        if let Frame::PeerRequest {
+            request_id: number, ..
+        } = &frame
+        {
             self.pending_requests
                 .lock()
                 .record_sent(now(), *number, address);
@@ -103,7 +106,10 @@
         if let Frame::Consensus(message) = &frame {
             check_content(&message.body).map_err(|text| anyhow::anyhow!("{peer}: {text}"))?;
         }
-        if let Frame::PeerResponse { number, .. } = &frame {
+        if let Frame::PeerResponse {
+            request_id: number, ..
+        } = &frame
+        {
             let is_awaited =
                 self.pending_requests
                     .lock()
@@ -253,9 +259,9 @@
             }
             Frame::PeerRequest {
                 from,
-                number,
+                request_id: number,
                 validity,
-                question,
+                request: question,
             } => {
                 control
                     .driver
@@ -267,9 +273,9 @@
                     }));
             }
             Frame::PeerResponse {
-                number,
+                request_id: number,
                 clock_ms,
-                reply,
+                response: reply,
             } => {
                 control.driver.send(DriverCommand::PeerResponse {
                     number,
@@ -277,7 +283,9 @@
                     reply,
                 });
             }
-            Frame::Routers { fronts, .. } => {
+            Frame::Routers {
+                routers: fronts, ..
+            } => {
                 anyhow::ensure!(!may_be_late, "its reports of routers come late");
                 if control.driver.was_paused_recently() {
                     continue;
--- a/directory/src/subscriptions.rs
+++ b/directory/src/subscriptions.rs
@@ -170,7 +170,10 @@
                 anyhow::bail!("it fell behind")
             };
             match frame {
-                Frame::Heartbeat { front, demand } => {
+                Frame::Heartbeat {
+                    router: front,
+                    demand,
+                } => {
                     let mut routers = control.routers.lock();
                     routers.heartbeats.push(WaitingHeartbeat {
                         sender: out,
@@ -191,14 +194,17 @@
                     }
                 }
                 Frame::LookupRequest {
-                    number,
+                    request_id: number,
                     tenant,
                     service,
                     region,
                 } => {
                     control.metrics.increment("resolves");
                     let answer = resolve(&control, &tenant, &service, &region);
-                    drop(out.try_send(Frame::LookupResponse { number, answer }));
+                    drop(out.try_send(Frame::LookupResponse {
+                        request_id: number,
+                        response: answer,
+                    }));
                 }
                 other => anyhow::bail!("an unexpected frame from a router: {other:?}"),
             }
@@ -251,25 +257,28 @@
             |demand: &&RouterDemand| control.has_quota_margin || !demand.demands.is_empty();
         let demands = said.filter(is_told).cloned().collect();
         match control.driver.ask(PeerRequest::ReadIndex { demands }).await {
-            PeerResponse::ReadIndex { index, shares } => {
+            PeerResponse::ReadIndex {
+                index,
+                grants: shares,
+            } => {
                 let share = |demand: &RouterDemand| {
                     let is_its = |share: &&RouterGrants| {
-                        share.front == demand.front && share.number == demand.number
+                        share.router == demand.router && share.heartbeat == demand.heartbeat
                     };
                     shares
                         .iter()
                         .find(is_its)
-                        .map_or(Vec::new(), |share| share.shares.clone())
+                        .map_or(Vec::new(), |share| share.grants.clone())
                 };
                 control
                     .quota
                     .apply_shares(number, at + LEASE_MS, &share(&own));
                 for beat in heartbeats {
-                    let (number, shares) = (beat.demand.number, share(&beat.demand));
+                    let (number, shares) = (beat.demand.heartbeat, share(&beat.demand));
                     let lease = Frame::Lease {
-                        number,
+                        heartbeat: number,
                         epoch: index,
-                        shares,
+                        grants: shares,
                     };
                     drop(beat.sender.try_send(lease));
                 }
@@ -298,9 +307,13 @@
             for member in members.all() {
                 if member.identity != control.member.identity {
                     let (from, fronts) = (control.member.identity, fronts.clone());
-                    control
-                        .peers
-                        .send(&member.address, Frame::Routers { from, fronts });
+                    control.peers.send(
+                        &member.address,
+                        Frame::Routers {
+                            from,
+                            routers: fronts,
+                        },
+                    );
                 }
             }
         }
--- a/directory/tests/common/mod.rs
+++ b/directory/tests/common/mod.rs
@@ -45,9 +45,9 @@
         let (from, number, question) = (self.from, self.number, self.question.clone());
         let frame = Frame::PeerRequest {
             from,
-            number,
+            request_id: number,
             validity,
-            question,
+            request: question,
         };
         let bytes = protocol::encode(&frame);
         self.way
@@ -107,9 +107,9 @@
         match frame {
             Frame::PeerRequest {
                 from,
-                number,
+                request_id: number,
                 validity,
-                question: question @ PeerRequest::Propose(_),
+                request: question @ PeerRequest::Propose(_),
             } if self.is_holding.load(Ordering::SeqCst) => {
                 let way = Arc::clone(way);
                 let held = HeldProposal {
@@ -123,7 +123,9 @@
                 None
             }
             Frame::PeerResponse {
-                number, ref reply, ..
+                request_id: number,
+                response: ref reply,
+                ..
             } => {
                 drop(self.replies.send((number, reply.clone())));
                 Some(frame)
--- a/directory/tests/operator_commands.rs
+++ b/directory/tests/operator_commands.rs
@@ -316,7 +316,7 @@
         }) if to == next_id && (from == leader_id || !is_asked) => Vec::new(),
         Frame::PeerRequest {
             validity,
-            question: PeerRequest::Propose(_),
+            request: PeerRequest::Propose(_),
             ..
         } => {
             is_asked |= validity.deadline_ms > 0;
--- a/placement/src/paces.rs
+++ b/placement/src/paces.rs
@@ -224,21 +224,21 @@
             meter.floor = meter.floor.max(lost);
             QuotaDemand {
                 tenant: tenant.clone(),
-                used: meter.used,
+                admitted: meter.used,
                 limit: meter.limit,
-                floor: meter.floor,
-                waiting: meter.queue.len() as u64,
-                ahead,
-                lately: meter.lately(now),
+                grant_floor: meter.floor,
+                queued: meter.queue.len() as u64,
+                wanted: ahead,
+                recently_admitted: meter.lately(now),
             }
         });
         let demands = demands.collect();
         let age_ms = now - self.began;
         RouterDemand {
-            front: front.into(),
-            life: self.life,
-            number,
-            age_ms,
+            router: front.into(),
+            incarnation: self.life,
+            heartbeat: number,
+            incarnation_age_ms: age_ms,
             demands,
         }
     }
@@ -260,7 +260,11 @@
             meter.limit = meter.limit.max(share.limit);
             meter.until = meter.until.max(until);
             let last = meter.word.filter(|(at, ..)| now < at + WORD_MS);
-            meter.word = Some((now, share.queue_ms, last.map_or(now, |(.., since)| since)));
+            meter.word = Some((
+                now,
+                share.queue_wait_ms,
+                last.map_or(now, |(.., since)| since),
+            ));
         }
     }
 }
@@ -352,9 +356,9 @@
         });
         let shares = shares.collect();
         RouterGrants {
-            front: from.front.clone(),
-            number: from.number,
-            shares,
+            router: from.router.clone(),
+            heartbeat: from.heartbeat,
+            grants: shares,
         }
     }
 }
@@ -373,7 +377,7 @@
         self.held = self.held.saturating_add(gained).min(most);
         self.before = self.before.map(|held| held.saturating_add(gained));
         self.filled = now;
-        let account = self.accounts.entry(from.front.clone()).or_insert(Account {
+        let account = self.accounts.entry(from.router.clone()).or_insert(Account {
             life: 0,
             number: 0,
             used: 0,
@@ -384,20 +388,23 @@
         });
         let mut charged = 0;
         if account.life == 0 {
-            let lately = demand.lately.iter().map(|count| (count * 1_000) as i64);
+            let lately = demand
+                .recently_admitted
+                .iter()
+                .map(|count| (count * 1_000) as i64);
             self.before
                 .iter_mut()
                 .zip(lately)
                 .for_each(|(held, count)| *held -= count);
             // Neither knows what was admitted before both began.
-            if from.age_ms < RECENT_SPANS_MS[3] && now < self.since + LEASE_MS {
+            if from.incarnation_age_ms < RECENT_SPANS_MS[3] && now < self.since + LEASE_MS {
                 self.held = self.held.min(most / 2);
             }
         }
-        if account.life != from.life {
+        if account.life != from.incarnation {
             // What an earlier life had open it may have used.
             charged += account.open();
-            let (life, used) = (from.life, demand.used);
+            let (life, used) = (from.incarnation, demand.admitted);
             *account = Account {
                 life,
                 used,
@@ -407,17 +414,17 @@
             };
         }
         // A beat that came late says nothing new, and gets nothing.
-        let is_late = from.number <= account.number;
+        let is_late = from.heartbeat <= account.number;
         if !is_late {
             // What it used while it was not heard is charged now.
-            charged += demand.used.saturating_sub(account.used);
-            account.number = from.number;
-            account.used = account.used.max(demand.used);
+            charged += demand.admitted.saturating_sub(account.used);
+            account.number = from.heartbeat;
+            account.used = account.used.max(demand.admitted);
             account.limit = demand.limit;
             account
                 .given
-                .retain(|(number, limit)| *number >= demand.floor && *limit > demand.limit);
-            account.waiting = demand.waiting;
+                .retain(|(number, limit)| *number >= demand.grant_floor && *limit > demand.limit);
+            account.waiting = demand.queued;
             account.heard = now;
         }
         let charged = (charged * 1_000) as i64;
@@ -441,10 +448,10 @@
                 .filter(|(other, a)| *other != name && is_heard(a));
             others.map(|(_, account)| account.unmet()).sum()
         };
-        let others = unmet(&from.front);
+        let others = unmet(&from.router);
         let free = (held / 1_000 - open as i64).max(0) as u64;
         let free = if is_hearing { free.div_ceil(2) } else { free };
-        let account = self.accounts.get_mut(&from.front).expect("entered above");
+        let account = self.accounts.get_mut(&from.router).expect("entered above");
         let mut queue = others;
         let mut limit = demand.limit;
         if !is_late {
@@ -455,17 +462,17 @@
             // burst does not cover.
             let spare = (free - given).saturating_sub(others + most as u64 / 2_000);
             let has_ahead = account.open().saturating_sub(account.waiting);
-            let ahead = demand.ahead.saturating_sub(has_ahead).min(spare);
+            let ahead = demand.wanted.saturating_sub(has_ahead).min(spare);
             // All that is open is said again: an earlier answer may be lost.
             limit = account.used + account.open() + given + ahead;
             if limit > demand.limit {
-                account.given.push((from.number, limit));
+                account.given.push((from.heartbeat, limit));
             }
         }
         QuotaGrant {
             tenant: demand.tenant.clone(),
             limit,
-            queue_ms: queue * 1_000 / pace,
+            queue_wait_ms: queue * 1_000 / pace,
         }
     }
 }
@@ -579,9 +586,9 @@
                 if !is_frozen(router) {
                     fleet[router].apply_shares(
                         now,
-                        answer.number,
+                        answer.heartbeat,
                         asked + LEASE_MS,
-                        &answer.shares,
+                        &answer.grants,
                     );
                 }
             }
--- a/placement/src/pools.rs
+++ b/placement/src/pools.rs
@@ -328,21 +328,22 @@
             }
             QuotaDemand {
                 tenant: tenant.clone(),
-                used: tap.used,
+                admitted: tap.used,
                 limit: tap.limit,
-                floor: tap.taken,
-                waiting: tap.part,
-                ahead: if is_idle { 0 } else { tap.asked(now) },
-                lately: RECENT_SPANS_MS.map(|span| tap.counts.since(now.saturating_sub(span))),
+                grant_floor: tap.taken,
+                queued: tap.part,
+                wanted: if is_idle { 0 } else { tap.asked(now) },
+                recently_admitted: RECENT_SPANS_MS
+                    .map(|span| tap.counts.since(now.saturating_sub(span))),
             }
         });
         let demands = demands.collect();
         let age_ms = now.saturating_sub(self.began);
         RouterDemand {
-            front: front.into(),
-            life: self.life,
-            number,
-            age_ms,
+            router: front.into(),
+            incarnation: self.life,
+            heartbeat: number,
+            incarnation_age_ms: age_ms,
             demands,
         }
     }
@@ -531,9 +532,9 @@
         terms: impl Fn(&str) -> Option<(u64, u64)>,
     ) -> RouterGrants {
         let mut answer = RouterGrants {
-            front: from.front.clone(),
-            number: from.number,
-            shares: Vec::new(),
+            router: from.router.clone(),
+            heartbeat: from.heartbeat,
+            grants: Vec::new(),
         };
         let window = self.margin.window_ms;
         self.routers
@@ -572,11 +573,11 @@
             let limit = pool.answer(now, from, demand, window, readiness);
             let share = limit.map(|limit| (demand.tenant.clone(), limit));
             answer
-                .shares
+                .grants
                 .extend(share.map(|(tenant, limit)| QuotaGrant {
                     tenant,
                     limit,
-                    queue_ms: 0,
+                    queue_wait_ms: 0,
                 }));
         }
         answer
@@ -584,9 +585,9 @@
 
     /// Whether the beat is news.
     fn hear(&mut self, now: u64, from: &RouterDemand, routers: usize) -> bool {
-        let (life, number) = (from.life, from.number);
-        let is_new = !self.routers.contains_key(&from.front);
-        let router = self.routers.entry(from.front.clone()).or_insert(Router {
+        let (life, number) = (from.incarnation, from.heartbeat);
+        let is_new = !self.routers.contains_key(&from.router);
+        let router = self.routers.entry(from.router.clone()).or_insert(Router {
             life,
             number,
             heard: now,
@@ -606,7 +607,7 @@
             }
             let window = self.margin.window_ms;
             for pool in self.pools.values_mut() {
-                if let Some(account) = pool.accounts.get_mut(&from.front) {
+                if let Some(account) = pool.accounts.get_mut(&from.router) {
                     // What the former life had it may have used.
                     let former = account.held(now, window, pool.depth.floor);
                     let former_until = now + window;
@@ -622,9 +623,9 @@
         (router.life, router.number, router.heard) = (life, number, now);
         if !self.has_heard_all {
             if is_new {
-                let born = now.saturating_sub(from.age_ms);
+                let born = now.saturating_sub(from.incarnation_age_ms);
                 self.ready = self.ready.max(born + self.margin.window_ms);
-                self.has_mature |= from.age_ms >= self.margin.window_ms;
+                self.has_mature |= from.incarnation_age_ms >= self.margin.window_ms;
             }
             // Before that they may yet take answers of another leader.
             let settled = self.since + LEASE_MS;
@@ -678,28 +679,28 @@
         self.level = (self.level + gained).min(self.depth.saved());
         self.filled = self.filled.max(now);
         let all_accounts = self.accounts.len() as u64;
-        let account = self.accounts.entry(from.front.clone()).or_default();
-        let charged = if account.life == from.life {
-            demand.used.saturating_sub(account.used)
+        let account = self.accounts.entry(from.router.clone()).or_default();
+        let charged = if account.life == from.incarnation {
+            demand.admitted.saturating_sub(account.used)
         } else {
             // What it admitted before this leader knew of it is in the window, but
             // was charged by another.
-            account.life = from.life;
-            account.counts = Counts::told(now, &demand.lately);
+            account.life = from.incarnation;
+            account.counts = Counts::told(now, &demand.recently_admitted);
             0
         };
         account.counts.forget(now.saturating_sub(window));
         account.counts.add(now, charged);
-        account.used = demand.used;
-        (account.part, account.limit, account.asked) = (demand.waiting, demand.limit, demand.ahead);
-        account.given.retain(|(to, ..)| *to > demand.floor);
+        account.used = demand.admitted;
+        (account.part, account.limit, account.asked) = (demand.queued, demand.limit, demand.wanted);
+        account.given.retain(|(to, ..)| *to > demand.grant_floor);
         self.level -= charged as f64;
         if readiness == Readiness::None {
             return None;
         }
         // A young router has no floor yet: what it used past its opening is of its
         // part.
-        let own = if from.age_ms < window {
+        let own = if from.incarnation_age_ms < window {
             opening.min(floor)
         } else {
             floor
@@ -718,14 +719,14 @@
         // What may go within half a window, of all: parts that move within it would
         // go beyond it otherwise.
         let mut half = within_half(self.depth.all) + all_accounts;
-        let (mut sum, mut open) = (weigh(demand.ahead), 0);
+        let (mut sum, mut open) = (weigh(demand.wanted), 0);
         // Parts that others keep, and what is left of the window in all.
         let mut held = account.former(now);
         let mut left = pool as i64 + own as i64 - (used + held) as i64;
         for (_, account) in self
             .accounts
             .iter()
-            .filter(|(name, _)| **name != from.front)
+            .filter(|(name, _)| **name != from.router)
         {
             held += account.held(now, window, floor);
             let most = within_half(floor + account.held(now, window, floor));
@@ -739,16 +740,16 @@
             return None;
         }
         let level = self.level.max(0.0);
-        let due = (left.max(0) as f64).min(level) * weigh(demand.ahead) / sum.max(1.0);
+        let due = (left.max(0) as f64).min(level) * weigh(demand.wanted) / sum.max(1.0);
         let room_half = (half as f64 / HALF) as u64;
         let room = (pool + own).saturating_sub(held + used);
         let room = room.min(room_half.saturating_sub(used.max(used_half)));
         let lent = (due.round() as u64)
             .min(room)
             .min((level as u64).saturating_sub(open));
-        let limit = demand.used + lent;
-        let account = self.accounts.get_mut(&from.front).expect("entered above");
-        account.give(from.number, (used + lent).saturating_sub(own), limit);
+        let limit = demand.admitted + lent;
+        let account = self.accounts.get_mut(&from.router).expect("entered above");
+        account.give(from.heartbeat, (used + lent).saturating_sub(own), limit);
         Some(limit)
     }
 }
--- a/placement/src/router_membership.rs
+++ b/placement/src/router_membership.rs
@@ -19,10 +19,10 @@
 /// Whether a router's report says the same to the other routers. Its age and the
 /// epoch that it has are nothing to them, but for whether it has one.
 pub fn is_same_to_peers(one: &RouterStatus, other: &RouterStatus) -> bool {
-    let said = |front: &RouterStatus| (front.is_leaving, front.epoch > 0);
+    let said = |front: &RouterStatus| (front.is_draining, front.epoch > 0);
     said(one) == said(other)
-        && one.address == other.address
-        && one.door == other.door
+        && one.peer_address == other.peer_address
+        && one.client_address == other.client_address
         && one.zone == other.zone
         && one.region == other.region
 }
@@ -51,36 +51,36 @@
         };
         let is_known = self.has_begun && directories == self.directories;
         RegistryUpdate {
-            is_first: u8::from(!self.has_begun),
-            gone,
-            fronts: fronts.into_iter().filter(|front| is_news(front)).collect(),
-            directories: if is_known { Vec::new() } else { directories },
+            is_full: u8::from(!self.has_begun),
+            removed_routers: gone,
+            routers: fronts.into_iter().filter(|front| is_news(front)).collect(),
+            directory_nodes: if is_known { Vec::new() } else { directories },
         }
     }
 
     /// What is said where nothing came, left or changed.
     pub fn empty_update(&self) -> RegistryUpdate {
         RegistryUpdate {
-            is_first: u8::from(!self.has_begun),
-            fronts: Vec::new(),
-            gone: Vec::new(),
-            directories: Vec::new(),
+            is_full: u8::from(!self.has_begun),
+            routers: Vec::new(),
+            removed_routers: Vec::new(),
+            directory_nodes: Vec::new(),
         }
     }
 
     pub fn apply(&mut self, news: &RegistryUpdate) {
-        if news.is_first != 0 {
+        if news.is_full != 0 {
             *self = RouterMembership::default();
         }
         self.has_begun = true;
-        for front in &news.fronts {
+        for front in &news.routers {
             self.fronts.insert(front.name.clone(), front.clone());
         }
-        for name in &news.gone {
+        for name in &news.removed_routers {
             self.fronts.remove(&name.0);
         }
-        if !news.directories.is_empty() {
-            self.directories = news.directories.clone();
+        if !news.directory_nodes.is_empty() {
+            self.directories = news.directory_nodes.clone();
         }
     }
 }
--- a/placement/tests/pools.rs
+++ b/placement/tests/pools.rs
@@ -207,7 +207,7 @@
                 demand
                     .demands
                     .iter_mut()
-                    .for_each(|demand| demand.waiting = 0);
+                    .for_each(|demand| demand.queued = 0);
             }
             let answer = pools.allocate(now, &demand, routers, |_| Some((rate_now, rate_now)));
             if draw(20) > 0 {
@@ -220,7 +220,7 @@
         down = later;
         for (_, at, asked, answer) in come {
             if now >= cut[at] {
-                fleet[at].apply_shares(now, answer.number, asked + LEASE_MS, &answer.shares);
+                fleet[at].apply_shares(now, answer.heartbeat, asked + LEASE_MS, &answer.grants);
             }
         }
         // Callers know nothing of a rate that was lowered.
@@ -483,7 +483,7 @@
     let burst = |taps: &mut LeaseRateLimiter, now: u64, jobs: u64| {
         (0..jobs).filter(|_| taps.admit(now, "t", 2, 2, 1)).count()
     };
-    let number = |demand: &RouterDemand| demand.number;
+    let number = |demand: &RouterDemand| demand.heartbeat;
     // Rate and burst allow 33 in a window; 8 of them are for the young, and half
     // of the rest is the floor; seven tenths of a part may go within half a window.
     let young = |now: u64, jobs: u64| burst(&mut LeaseRateLimiter::new(0, 7, MARGIN), now, jobs);
@@ -524,7 +524,7 @@
             let demand = taps.demand(now - 100, "a", 1);
             let answer = pools.allocate(now - 50, &demand, 1, terms);
             let until = if is_late { now } else { now - 100 + LEASE_MS };
-            taps.apply_shares(now, number(&demand), until, &answer.shares);
+            taps.apply_shares(now, number(&demand), until, &answer.grants);
         }
         assert_eq!(before + burst(&mut taps, now, 50), admitted, "{what}");
         assert_eq!(
@@ -545,24 +545,24 @@
     assert_eq!(burst(&mut taps, 10_000, 1), 1);
     let demand = taps.demand(10_000, "a", 2);
     let first = pools.allocate(10_050, &demand, 1, terms);
-    assert_eq!(first.shares.len(), 1);
+    assert_eq!(first.grants.len(), 1);
     assert!(
-        pools.allocate(10_060, &demand, 1, terms).shares.is_empty(),
+        pools.allocate(10_060, &demand, 1, terms).grants.is_empty(),
         "said twice"
     );
-    taps.apply_shares(10_100, 2, 12_000, &first.shares);
+    taps.apply_shares(10_100, 2, 12_000, &first.grants);
     // It says so for a minute, gives its part back, and is silent once that is
     // known.
     assert_eq!(taps.demand(60_000, "a", 3).demands.len(), 1);
     let back = taps.demand(70_100, "a", 4);
-    assert_eq!((back.demands[0].waiting, back.demands[0].ahead), (0, 0));
+    assert_eq!((back.demands[0].queued, back.demands[0].wanted), (0, 0));
     assert_eq!(
         taps.demand(70_450, "a", 5).demands.len(),
         1,
         "not yet known"
     );
     let answer = pools.allocate(70_500, &back, 1, terms);
-    taps.apply_shares(70_550, 4, 72_100, &answer.shares);
+    taps.apply_shares(70_550, 4, 72_100, &answer.grants);
     assert!(taps.demand(70_800, "a", 6).demands.is_empty());
 
     // A router that left leaves its part to others, a silent one does not.
@@ -580,11 +580,11 @@
             taps.admit(now, "t", 2, 2, 2);
             let demand = taps.demand(now, front, number);
             let answer = pools.allocate(now, &demand, 2, terms);
-            taps.apply_shares(now, number, now + LEASE_MS, &answer.shares);
+            taps.apply_shares(now, number, now + LEASE_MS, &answer.grants);
             answer
-                .shares
+                .grants
                 .first()
-                .map_or(0, |share| share.limit - demand.demands[0].used)
+                .map_or(0, |share| share.limit - demand.demands[0].admitted)
         };
         let [one, other] = &mut fleet;
         other.admit(9_000, "t", 2, 2, 2);
--- a/placement/tests/router_membership.rs
+++ b/placement/tests/router_membership.rs
@@ -9,11 +9,11 @@
         name: format!("router-{number}"),
         region: "north".into(),
         zone: "north-a".into(),
-        door: format!("127.0.0.{number}:1"),
-        address: format!("127.0.0.{number}:2"),
+        client_address: format!("127.0.0.{number}:1"),
+        peer_address: format!("127.0.0.{number}:2"),
         epoch,
         age_ms,
-        is_leaving: is_leaving.into(),
+        is_draining: is_leaving.into(),
     }
 }
 
@@ -33,9 +33,9 @@
     let said = |front: &RouterStatus| {
         (
             front.name.clone(),
-            front.address.clone(),
+            front.peer_address.clone(),
             front.epoch > 0,
-            front.is_leaving,
+            front.is_draining,
         )
     };
     company.routers().map(said).collect()
@@ -62,7 +62,7 @@
                 1 if !there.is_empty() => drop(there.remove(draw(there.len() as u64) as usize)),
                 2 if !there.is_empty() => {
                     let at = draw(there.len() as u64) as usize;
-                    there[at].is_leaving = 1 - there[at].is_leaving;
+                    there[at].is_draining = 1 - there[at].is_draining;
                 }
                 3 if !there.is_empty() => {
                     let at = draw(there.len() as u64) as usize;
@@ -103,15 +103,19 @@
     let mut node = RouterMembership::default();
     let first = node.update_to(list(1, 0), members(8));
     assert_eq!(
-        (first.is_first, first.fronts.len(), first.directories.len()),
+        (
+            first.is_full,
+            first.routers.len(),
+            first.directory_nodes.len()
+        ),
         (1, 350, 8)
     );
     node.apply(&first);
     let nothing = RegistryUpdate {
-        is_first: 0,
-        fronts: Vec::new(),
-        gone: Vec::new(),
-        directories: Vec::new(),
+        is_full: 0,
+        routers: Vec::new(),
+        removed_routers: Vec::new(),
+        directory_nodes: Vec::new(),
     };
     assert_eq!(node.update_to(list(2, 700), members(8)), nothing);
     assert_eq!(node.empty_update(), nothing);
--- a/protocol/src/lib.rs
+++ b/protocol/src/lib.rs
@@ -51,16 +51,16 @@
     /// Where callers reach it.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
-    pub door: String,
+    pub client_address: String,
     /// Where its neighbours reach it.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
-    pub address: String,
+    pub peer_address: String,
     /// What is in force there.
     pub epoch: u64,
     /// How old this report is.
     pub age_ms: u64,
-    pub is_leaving: u8,
+    pub is_draining: u8,
 }
 
 /// What is new of the other routers and of the directory nodes.
@@ -69,18 +69,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistryUpdate {
     /// The first of a session: what was known before counts no more.
-    pub is_first: u8,
+    pub is_full: u8,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
-    pub fronts: Vec<RouterStatus>,
+    pub routers: Vec<RouterStatus>,
     /// Routers that are there no more, by name.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
-    pub gone: Vec<Name>,
+    pub removed_routers: Vec<Name>,
     /// Where all directory nodes listen; none stands for no change.
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
-    pub directories: Vec<Member>,
+    pub directory_nodes: Vec<Member>,
 }
 
 /// What a process that admits jobs says of one tenant's pace. Counts are since it
@@ -93,17 +93,17 @@
     #[bw(write_with = write_string)]
     pub tenant: String,
     /// Jobs that were admitted.
-    pub used: u64,
+    pub admitted: u64,
     /// How far it may count, as far as it knows; it binds itself to that.
     pub limit: u64,
     /// Answers to earlier beats raise nothing any more.
-    pub floor: u64,
+    pub grant_floor: u64,
     /// Jobs that wait for a place.
-    pub waiting: u64,
+    pub queued: u64,
     /// Jobs that it would have beyond those.
-    pub ahead: u64,
+    pub wanted: u64,
     /// Jobs that were admitted in the last `RECENT_SPANS_MS`, for a leader that is new.
-    pub lately: [u64; 4],
+    pub recently_admitted: [u64; 4],
 }
 
 /// The spans that `QuotaDemand::lately` speaks of.
@@ -120,7 +120,7 @@
     /// How far it may count.
     pub limit: u64,
     /// How long those that wait everywhere have to wait.
-    pub queue_ms: u64,
+    pub queue_wait_ms: u64,
 }
 
 #[binrw]
@@ -129,13 +129,13 @@
 pub struct RouterDemand {
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
-    pub front: String,
+    pub router: String,
     /// Another one for each start of a process.
-    pub life: u64,
+    pub incarnation: u64,
     /// The beat's number; it only rises within a life.
-    pub number: u64,
+    pub heartbeat: u64,
     /// How old that life is: what it says of `lately` goes back no further.
-    pub age_ms: u64,
+    pub incarnation_age_ms: u64,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
     pub demands: Vec<QuotaDemand>,
@@ -147,11 +147,11 @@
 pub struct RouterGrants {
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
-    pub front: String,
-    pub number: u64,
+    pub router: String,
+    pub heartbeat: u64,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
-    pub shares: Vec<QuotaGrant>,
+    pub grants: Vec<QuotaGrant>,
 }
 
 #[binrw]
@@ -186,13 +186,13 @@
     /// The asking router's region, which is the caller's.
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
-    pub region: String,
+    pub client_region: String,
     /// The router's epoch; the node answers from no older a state.
     pub epoch: u64,
     /// What is left of the job's deadline.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// Whether its tenant's pace was asked; who reads the key asks it.
-    pub is_charged: u8,
+    pub is_quota_charged: u8,
 }
 
 #[binrw]
@@ -201,7 +201,7 @@
 pub enum Frame {
     #[brw(magic = 1u8)]
     Hello {
-        epoch: u16,
+        version: u16,
         kind: ConnectionKind,
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
@@ -222,17 +222,17 @@
     #[brw(magic = 11u8)]
     PeerRequest {
         from: u64,
-        number: u64,
+        request_id: u64,
         /// The term in which it was asked, and how long it may be acted on.
         validity: Validity,
-        question: PeerRequest,
+        request: PeerRequest,
     },
     #[brw(magic = 12u8)]
     PeerResponse {
-        number: u64,
+        request_id: u64,
         /// The sender's clock, by which deadlines of questions to it are counted.
         clock_ms: u64,
-        reply: PeerResponse,
+        response: PeerResponse,
     },
     /// The routers that beat at the sender.
     #[brw(magic = 13u8)]
@@ -240,7 +240,7 @@
         from: u64,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        fronts: Vec<RouterStatus>,
+        routers: Vec<RouterStatus>,
     },
     /// A blank node asks to be let in; answered on the same connection.
     #[brw(magic = 14u8)]
@@ -262,18 +262,18 @@
     // Router and directory node, one session.
     #[brw(magic = 20u8)]
     Heartbeat {
-        front: RouterStatus,
+        router: RouterStatus,
         demand: RouterDemand,
     },
     /// The leader led throughout since this beat was sent, and all that counted
     /// then has gone before this frame.
     #[brw(magic = 21u8)]
     Lease {
-        number: u64,
+        heartbeat: u64,
         epoch: u64,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        shares: Vec<QuotaGrant>,
+        grants: Vec<QuotaGrant>,
     },
     /// A whole view, in place of what the router had.
     #[brw(magic = 22u8)]
@@ -286,7 +286,7 @@
     /// The events of one entry. `prior` is the epoch that they build on.
     #[brw(magic = 23u8)]
     Change {
-        prior: u64,
+        base_epoch: u64,
         epoch: u64,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
@@ -298,7 +298,7 @@
     /// The key alone.
     #[brw(magic = 25u8)]
     LookupRequest {
-        number: u64,
+        request_id: u64,
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         tenant: String,
@@ -310,7 +310,10 @@
         region: String,
     },
     #[brw(magic = 26u8)]
-    LookupResponse { number: u64, answer: LookupResponse },
+    LookupResponse {
+        request_id: u64,
+        response: LookupResponse,
+    },
 
     // A forwarded job, one connection each.
     #[brw(magic = 30u8)]
@@ -368,7 +371,7 @@
     // Router and neighbour.
     #[brw(magic = 40u8)]
     CacheLookup {
-        number: u64,
+        request_id: u64,
         #[br(parse_with = read_string)]
         #[bw(write_with = write_string)]
         key: String,
@@ -377,7 +380,7 @@
     },
     #[brw(magic = 41u8)]
     CacheResult {
-        number: u64,
+        request_id: u64,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
         mapping: Vec<Mapping>,
@@ -397,7 +400,7 @@
         loads: Vec<EngineLoad>,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        kept: Vec<CachedPrefix>,
+        cached_prefixes: Vec<CachedPrefix>,
     },
 }
 
@@ -409,8 +412,8 @@
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub engine: String,
-    pub jobs: u32,
-    pub tokens: u32,
+    pub requests: u32,
+    pub prefill_tokens: u32,
 }
 
 /// A shared part of prompts that an engine keeps.
@@ -421,7 +424,7 @@
     #[br(parse_with = read_string)]
     #[bw(write_with = write_string)]
     pub engine: String,
-    pub chain: u64,
+    pub prefix_hash: u64,
 }
 
 /// Until when a leader may act on a question that was forwarded to it.
@@ -468,7 +471,7 @@
         index: u64,
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
-        shares: Vec<RouterGrants>,
+        grants: Vec<RouterGrants>,
     },
     #[brw(magic = 1u8)]
     Proposed(Outcome),
--- a/protocol/tests/formats/frames.rs
+++ b/protocol/tests/formats/frames.rs
@@ -251,11 +251,11 @@
         name: "edge-1".into(),
         region: "north".into(),
         zone: "north-a".into(),
-        door: "10.0.0.3:8689".into(),
-        address: "10.0.0.3:7362".into(),
+        client_address: "10.0.0.3:8689".into(),
+        peer_address: "10.0.0.3:7362".into(),
         epoch: 9,
         age_ms: 5,
-        is_leaving: 0,
+        is_draining: 0,
     }
 }
 
@@ -263,25 +263,25 @@
     QuotaGrant {
         tenant: "ana".into(),
         limit: 9,
-        queue_ms: 3,
+        queue_wait_ms: 3,
     }
 }
 
 fn demand() -> RouterDemand {
     let demand = QuotaDemand {
         tenant: "ana".into(),
-        used: 5,
+        admitted: 5,
         limit: 9,
-        floor: 1,
-        waiting: 0,
-        ahead: 2,
-        lately: [1, 2, 3, 4],
+        grant_floor: 1,
+        queued: 0,
+        wanted: 2,
+        recently_admitted: [1, 2, 3, 4],
     };
     RouterDemand {
-        front: "edge-1".into(),
-        life: 8,
-        number: 4,
-        age_ms: 99,
+        router: "edge-1".into(),
+        incarnation: 8,
+        heartbeat: 4,
+        incarnation_age_ms: 99,
         demands: vec![demand],
     }
 }
@@ -295,7 +295,7 @@
         ConnectionKind::CacheSharing,
     ];
     let hello = |kind| Frame::Hello {
-        epoch: VERSION,
+        version: VERSION,
         kind,
         name: "edge-1".into(),
     };
@@ -335,9 +335,9 @@
 
 fn responses() -> Vec<PeerResponse> {
     let shares = RouterGrants {
-        front: "edge-1".into(),
-        number: 4,
-        shares: vec![share(), share()],
+        router: "edge-1".into(),
+        heartbeat: 4,
+        grants: vec![share(), share()],
     };
     let outcomes = [
         Outcome::Applied { epoch: 9 },
@@ -351,7 +351,7 @@
         .chain([
             PeerResponse::ReadIndex {
                 index: 9,
-                shares: vec![shares],
+                grants: vec![shares],
             },
             PeerResponse::MembershipChanged,
             PeerResponse::NotLeader,
@@ -380,19 +380,19 @@
     let mut frames: Vec<Frame> = bodies().into_iter().map(consensus).collect();
     frames.extend(requests().into_iter().map(|question| Frame::PeerRequest {
         from: 1,
-        number: 2,
+        request_id: 2,
         validity,
-        question,
+        request: question,
     }));
     frames.extend(responses().into_iter().map(|reply| Frame::PeerResponse {
-        number: 2,
+        request_id: 2,
         clock_ms: 3,
-        reply,
+        response: reply,
     }));
     frames.extend([
         Frame::Routers {
             from: 1,
-            fronts: vec![front(), front()],
+            routers: vec![front(), front()],
         },
         Frame::Join(member(9)),
         Frame::Joined {
@@ -416,31 +416,31 @@
     };
     let mut frames = vec![
         Frame::Heartbeat {
-            front: front(),
+            router: front(),
             demand: demand(),
         },
         Frame::Lease {
-            number: 4,
+            heartbeat: 4,
             epoch: 9,
-            shares: vec![share()],
+            grants: vec![share()],
         },
         Frame::Snapshot {
             epoch: 9,
             events: events(),
         },
         Frame::Change {
-            prior: 8,
+            base_epoch: 8,
             epoch: 9,
             events: events(),
         },
         Frame::RegistryUpdate(RegistryUpdate {
-            is_first: 1,
-            fronts: vec![front()],
-            gone: vec![name("edge-2")],
-            directories: vec![member(1)],
+            is_full: 1,
+            routers: vec![front()],
+            removed_routers: vec![name("edge-2")],
+            directory_nodes: vec![member(1)],
         }),
         Frame::LookupRequest {
-            number: 3,
+            request_id: 3,
             tenant: "ana".into(),
             service: "writer".into(),
             region: "north".into(),
@@ -451,7 +451,10 @@
         none,
         LookupResponse::Unavailable,
     ];
-    frames.extend(answers.map(|answer| Frame::LookupResponse { number: 2, answer }));
+    frames.extend(answers.map(|answer| Frame::LookupResponse {
+        request_id: 2,
+        response: answer,
+    }));
     frames
 }
 
@@ -474,10 +477,10 @@
             method: "POST".into(),
             target: "/app/write".into(),
             headers: vec![header.clone()],
-            region: "north".into(),
+            client_region: "north".into(),
             epoch: 9,
-            left_ms: 500,
-            is_charged: 1,
+            remaining_ms: 500,
+            is_quota_charged: 1,
         }),
         Frame::RequestBody(b"{\"prompt\":\"x\"}".to_vec()),
         Frame::RequestEnd,
@@ -499,16 +502,16 @@
 pub fn cache_sharing() -> Vec<Frame> {
     vec![
         Frame::CacheLookup {
-            number: 1,
+            request_id: 1,
             key: "ana/writer".into(),
             epoch: 9,
         },
         Frame::CacheResult {
-            number: 1,
+            request_id: 1,
             mapping: vec![mapping()],
         },
         Frame::CacheResult {
-            number: 1,
+            request_id: 1,
             mapping: vec![],
         },
         Frame::CacheStore(mapping()),
@@ -517,12 +520,12 @@
             is_relayed: 0,
             loads: vec![EngineLoad {
                 engine: "i-1".into(),
-                jobs: 3,
-                tokens: 99,
+                requests: 3,
+                prefill_tokens: 99,
             }],
-            kept: vec![CachedPrefix {
+            cached_prefixes: vec![CachedPrefix {
                 engine: "i-1".into(),
-                chain: 77,
+                prefix_hash: 77,
             }],
         },
     ]
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -161,10 +161,10 @@
         method: parts.method.to_string(),
         target: parts.target.clone(),
         headers: headers_to_frame(&headers),
-        region: router.settings.region.clone(),
+        client_region: router.settings.region.clone(),
         epoch: router.view.borrow().epoch,
-        left_ms: parts.deadline.saturating_sub(now()),
-        is_charged: permit.is_some().into(),
+        remaining_ms: parts.deadline.saturating_sub(now()),
+        is_quota_charged: permit.is_some().into(),
     };
     link::send(&mut writer, &Frame::RequestHead(head)).await?;
     link::send(&mut writer, &Frame::RequestBody(carried.held.to_vec())).await?;
--- a/router/src/load_gossip.rs
+++ b/router/src/load_gossip.rs
@@ -23,18 +23,18 @@
 fn frame(from: &str, is_relayed: bool, news: &LoadUpdate) -> Frame {
     let load = |(engine, jobs, tokens): &(String, u32, u32)| EngineLoad {
         engine: engine.clone(),
-        jobs: *jobs,
-        tokens: *tokens,
+        requests: *jobs,
+        prefill_tokens: *tokens,
     };
     let kept = |(engine, chain): &(String, u64)| CachedPrefix {
         engine: engine.clone(),
-        chain: *chain,
+        prefix_hash: *chain,
     };
     Frame::LoadGossip {
         from: from.into(),
         is_relayed: is_relayed.into(),
         loads: news.loads.iter().map(load).collect(),
-        kept: news.kept.iter().map(kept).collect(),
+        cached_prefixes: news.kept.iter().map(kept).collect(),
     }
 }
 
@@ -47,7 +47,7 @@
     membership
         .fronts()
         .filter(is_near)
-        .filter_map(|f| f.address.parse().ok())
+        .filter_map(|f| f.peer_address.parse().ok())
         .collect()
 }
 
@@ -68,7 +68,7 @@
     }
     regions
         .values()
-        .filter_map(|(_, front)| front.address.parse().ok())
+        .filter_map(|(_, front)| front.peer_address.parse().ok())
         .collect()
 }
 
@@ -90,11 +90,11 @@
     let news = LoadUpdate {
         loads: loads
             .into_iter()
-            .map(|load| (load.engine, load.jobs, load.tokens))
+            .map(|load| (load.engine, load.requests, load.prefill_tokens))
             .collect(),
         kept: kept
             .into_iter()
-            .map(|kept| (kept.engine, kept.chain))
+            .map(|kept| (kept.engine, kept.prefix_hash))
             .collect(),
     };
     router
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -48,7 +48,7 @@
             .or(Some(at))
             .filter(|_| is_listed);
         self.told = at;
-        if news.is_first != 0 || !news.fronts.is_empty() || !news.gone.is_empty() {
+        if news.is_full != 0 || !news.routers.is_empty() || !news.removed_routers.is_empty() {
             let own = policy::stable_hash(name.as_bytes());
             let marks = self
                 .known
@@ -96,7 +96,7 @@
 pub fn neighbours(router: &Router) -> usize {
     let is_one = |front: &&RouterStatus| {
         front.region == router.settings.region
-            && front.is_leaving == 0
+            && front.is_draining == 0
             && front.name != router.settings.name
     };
     router.membership.read().fronts().filter(is_one).count()
@@ -109,9 +109,9 @@
     let own = (router.settings.name.as_str(), None);
     let others = membership
         .fronts()
-        .filter(|front| front.region == router.settings.region && front.is_leaving == 0)
+        .filter(|front| front.region == router.settings.region && front.is_draining == 0)
         .filter(|front| front.name != router.settings.name)
-        .filter_map(|front| Some((front.name.as_str(), Some(front.address.parse().ok()?))));
+        .filter_map(|front| Some((front.name.as_str(), Some(front.peer_address.parse().ok()?))));
     let number = |text: &str| policy::stable_hash(text.as_bytes());
     let key = number(key);
     std::iter::once(own)
@@ -161,7 +161,7 @@
                 link::send(&mut writer, &frame).await?;
             }
             frame = link::receive(&mut reader, 1 << 20) => match frame? {
-                Some(Frame::CacheResult { number, mapping }) => {
+                Some(Frame::CacheResult { request_id: number, mapping }) => {
                     if let Some(sender) = looks.lock().remove(&number) {
                         drop(sender.send(mapping.into_iter().next()));
                     }
@@ -188,7 +188,7 @@
     neighbour.looks.lock().insert(number, sender);
     let epoch = router.view.borrow().epoch;
     drop(neighbour.out.try_send(Frame::CacheLookup {
-        number,
+        request_id: number,
         key: key.into(),
         epoch,
     }));
@@ -236,7 +236,11 @@
     );
     while let Some(frame) = link::receive(&mut stream, 1 << 20).await? {
         match frame {
-            Frame::CacheLookup { number, key, epoch } => {
+            Frame::CacheLookup {
+                request_id: number,
+                key,
+                epoch,
+            } => {
                 // A share that is behind the asking router does not know what is void.
                 let is_behind = router.view.borrow().epoch < epoch;
                 let hit = if is_behind {
@@ -248,14 +252,21 @@
                     CacheLookup::Fresh(mapping) | CacheLookup::Stale(mapping) => vec![mapping],
                     CacheLookup::Miss => Vec::new(),
                 };
-                link::send(&mut stream, &Frame::CacheResult { number, mapping }).await?;
+                link::send(
+                    &mut stream,
+                    &Frame::CacheResult {
+                        request_id: number,
+                        mapping,
+                    },
+                )
+                .await?;
             }
             Frame::CacheStore(mapping) => router.cache_tiers.insert_regional(&mapping),
             Frame::LoadGossip {
                 from,
                 is_relayed,
                 loads,
-                kept,
+                cached_prefixes: kept,
             } => {
                 crate::load_gossip::take(&router, &from, is_relayed != 0, loads, kept);
             }
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -62,7 +62,7 @@
             .lock()
             .insert(number, PendingLookup { key, waiter });
         let frame = Frame::LookupRequest {
-            number,
+            request_id: number,
             tenant: tenant.into(),
             service: service.into(),
             region: region.into(),
@@ -210,14 +210,14 @@
                     name: boot.name.clone(),
                     region: boot.region.clone(),
                     zone: boot.zone.clone(),
-                    door: boot.ingress_address.to_string(),
-                    address: boot.peer_address.to_string(),
+                    client_address: boot.ingress_address.to_string(),
+                    peer_address: boot.peer_address.to_string(),
                     epoch: router.view.borrow().epoch,
                     age_ms: 0,
-                    is_leaving: router.is_draining.load(Ordering::Relaxed).into(),
+                    is_draining: router.is_draining.load(Ordering::Relaxed).into(),
                 };
                 let demand = router.quota.lease_demands(&boot.name, number);
-                let frame = Frame::Heartbeat { front, demand };
+                let frame = Frame::Heartbeat { router: front, demand };
                 tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(&mut writer, &frame)).await??;
             }
             frame = queue.recv() => {
@@ -227,7 +227,7 @@
             frame = incoming.recv() => {
                 let frame = frame.unwrap_or(Ok(None))?;
                 let Some(frame) = frame else { anyhow::bail!("it closed") };
-                if let Frame::Lease { number, epoch, shares } = &frame {
+                if let Frame::Lease { heartbeat: number, epoch, grants: shares } = &frame {
                     if let Some(until) = replica_view.renew_lease(*number, *epoch) {
                         lease_valid = now();
                         router.lease.store(replica_view.lease_expires_at(), Ordering::Relaxed);
@@ -255,7 +255,7 @@
             log::info!(epoch = epoch; "a picture is in force");
         }
         Frame::Change {
-            prior,
+            base_epoch: prior,
             epoch,
             events,
         } => {
@@ -269,9 +269,10 @@
             log::info!(epoch = epoch; "in force");
         }
         Frame::RegistryUpdate(news) => router.membership.write().take(&router.settings.name, &news),
-        Frame::LookupResponse { number, answer } => {
-            router.pending_lookups.complete(number, answer)?
-        }
+        Frame::LookupResponse {
+            request_id: number,
+            response: answer,
+        } => router.pending_lookups.complete(number, answer)?,
         Frame::Refused { text } => anyhow::bail!("it refuses: {text}"),
         other => anyhow::bail!("an unexpected frame: {other:?}"),
     }
--- a/testbed/src/hollow.rs
+++ b/testbed/src/hollow.rs
@@ -100,11 +100,11 @@
             name: self.name.clone(),
             region: self.place.1.clone(),
             zone: self.place.0.clone(),
-            door: SocketAddr::new(self.source.ip(), 8680).to_string(),
-            address: self.source.to_string(),
+            client_address: SocketAddr::new(self.source.ip(), 8680).to_string(),
+            peer_address: self.source.to_string(),
             epoch: self.following.view().epoch,
             age_ms: 0,
-            is_leaving: 0,
+            is_draining: 0,
         }
     }
 
@@ -140,9 +140,9 @@
     fn take(&mut self, frame: Frame) -> anyhow::Result<()> {
         match frame {
             Frame::Lease {
-                number,
+                heartbeat: number,
                 epoch,
-                shares,
+                grants: shares,
             } => {
                 if let Some(until) = self.following.renew_lease(number, epoch) {
                     self.lease_valid = clock();
@@ -157,7 +157,7 @@
                 self.note();
             }
             Frame::Change {
-                prior,
+                base_epoch: prior,
                 epoch,
                 events,
             } => {
@@ -247,7 +247,7 @@
                 hollow.following.record_heartbeat(now(), number);
                 let demand = hollow.quota.lease_demands(&name, number);
                 Frame::Heartbeat {
-                    front: hollow.front(),
+                    router: hollow.front(),
                     demand,
                 }
             };
--- a/testbed/tests/cut_leader.rs
+++ b/testbed/tests/cut_leader.rs
@@ -265,10 +265,10 @@
         method: "POST".into(),
         target: "/app/write".into(),
         headers: vec![header("x-tenant-key", ANA), header("x-model", "writer")],
-        region: "north".into(),
+        client_region: "north".into(),
         epoch: 0,
-        left_ms: 30_000,
-        is_charged: 1,
+        remaining_ms: 30_000,
+        is_quota_charged: 1,
     };
     link::send(&mut job, &Frame::RequestHead(head))
         .await
@@ -307,7 +307,7 @@
 
     let mut session = dial(protocol::ConnectionKind::RouterSession).await;
     let resolve = Frame::LookupRequest {
-        number: 1,
+        request_id: 1,
         tenant: "ana".into(),
         service: "writer".into(),
         region: "north".into(),
@@ -320,9 +320,9 @@
             .await
             .expect("a frame")
         {
-            Some(Frame::LookupResponse { answer, .. }) => {
-                break assert_eq!(answer, LookupResponse::Unavailable)
-            }
+            Some(Frame::LookupResponse {
+                response: answer, ..
+            }) => break assert_eq!(answer, LookupResponse::Unavailable),
             Some(Frame::Lease { .. }) => panic!("it gives a lease"),
             Some(_) => {}
             None => panic!("it closed"),
@@ -396,22 +396,28 @@
         name: router.name.clone(),
         region: router.region.clone(),
         zone: router.zone.clone(),
-        door: router.door().to_string(),
-        address: router.address().to_string(),
+        client_address: router.door().to_string(),
+        peer_address: router.address().to_string(),
         epoch: 1,
         age_ms: 0,
-        is_leaving: 0,
+        is_draining: 0,
     };
     let demand = RouterDemand {
-        front: router.name.clone(),
-        life: 1,
-        number: 1,
-        age_ms: 1_000,
+        router: router.name.clone(),
+        incarnation: 1,
+        heartbeat: 1,
+        incarnation_age_ms: 1_000,
         demands: Vec::new(),
     };
-    link::send(&mut stream, &Frame::Heartbeat { front, demand })
-        .await
-        .expect("the kernel takes it");
+    link::send(
+        &mut stream,
+        &Frame::Heartbeat {
+            router: front,
+            demand,
+        },
+    )
+    .await
+    .expect("the kernel takes it");
 }
 
 /// Starts a router anew until its session is with a follower: one with the leader
--- a/testbed/tests/failures.rs
+++ b/testbed/tests/failures.rs
@@ -338,13 +338,13 @@
     let (_folder, fleet) = up("garbage").await;
     let (router, node) = (fleet.get("router-1"), fleet.get("directory-1"));
     let mut hello = protocol::encode(&protocol::Frame::Hello {
-        epoch: protocol::VERSION,
+        version: protocol::VERSION,
         kind: protocol::ConnectionKind::Peer,
         name: "stranger".into(),
     });
     hello.extend([0, 0, 0, 9, 13, 1, 2, 3, 4, 255, 255, 255, 255]);
     let other = protocol::encode(&protocol::Frame::Hello {
-        epoch: protocol::VERSION + 1,
+        version: protocol::VERSION + 1,
         kind: protocol::ConnectionKind::RouterSession,
         name: "from-tomorrow".into(),
     });
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/handed.rs
@@ -118,24 +118,26 @@
             operator_address: address,
         };
         let news = RegistryUpdate {
-            is_first: 1,
-            fronts: Vec::new(),
-            gone: Vec::new(),
-            directories: vec![member],
+            is_full: 1,
+            routers: Vec::new(),
+            removed_routers: Vec::new(),
+            directory_nodes: vec![member],
         };
         link::send(&mut stream, &Frame::RegistryUpdate(news)).await?;
         while let Some(frame) = link::receive(&mut stream, protocol::MAX_FRAME_BYTES).await? {
             let answer = match frame {
                 Frame::Heartbeat { demand, .. } => Frame::Lease {
-                    number: demand.number,
+                    heartbeat: demand.heartbeat,
                     epoch,
-                    shares: Vec::new(),
+                    grants: Vec::new(),
                 },
                 Frame::LookupRequest {
-                    number, service, ..
+                    request_id: number,
+                    service,
+                    ..
                 } => Frame::LookupResponse {
-                    number,
-                    answer: LookupResponse::Found(self.mapping(&service)),
+                    request_id: number,
+                    response: LookupResponse::Found(self.mapping(&service)),
                 },
                 other => anyhow::bail!("an unexpected frame: {other:?}"),
             };
@@ -476,10 +478,10 @@
         method: "POST".into(),
         target: "/app/write".into(),
         headers: vec![header("x-tenant-key", KEY), header("x-model", "writer")],
-        region: "north".into(),
+        client_region: "north".into(),
         epoch: 0,
-        left_ms,
-        is_charged: 1,
+        remaining_ms: left_ms,
+        is_quota_charged: 1,
     };
     let mut frames = vec![Frame::RequestHead(head)];
     frames.extend((0..5).map(|_| Frame::RequestBody(vec![b'x'; 700])));
--- a/transport/src/link.rs
+++ b/transport/src/link.rs
@@ -42,7 +42,7 @@
         .await
         .with_context(|| format!("dialling {to}"))?;
     let hello = Frame::Hello {
-        epoch: protocol::VERSION,
+        version: protocol::VERSION,
         kind,
         name: name.into(),
     };
@@ -120,11 +120,15 @@
     .map_err(|_| anyhow!("no hello came"))??;
     match frame {
         Some(Frame::Hello {
-            epoch: protocol::VERSION,
+            version: protocol::VERSION,
             kind,
             name,
         }) => Ok((kind, name)),
-        Some(Frame::Hello { epoch, name, .. }) => {
+        Some(Frame::Hello {
+            version: epoch,
+            name,
+            ..
+        }) => {
             let text = format!(
                 "{name} speaks wire epoch {epoch}, this build speaks {} only",
                 protocol::VERSION
--- a/transport/tests/link.rs
+++ b/transport/tests/link.rs
@@ -47,7 +47,7 @@
 fn sample() -> Vec<Frame> {
     vec![
         Frame::Hello {
-            epoch: protocol::VERSION,
+            version: protocol::VERSION,
             kind: ConnectionKind::Forwarding,
             name: "edge-1".into(),
         },
@@ -55,7 +55,7 @@
         Frame::RequestBody(vec![7; 900]),
         Frame::RequestEnd,
         Frame::CacheLookup {
-            number: 5,
+            request_id: 5,
             key: "ana/writer".into(),
             epoch: 3,
         },
@@ -109,7 +109,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
         let hello = |epoch| Frame::Hello {
-            epoch,
+            version: epoch,
             kind: ConnectionKind::RouterSession,
             name: "edge-1".into(),
         };
