--- a/checker/src/engines.rs
+++ b/checker/src/engines.rs
@@ -1,21 +1,35 @@
-//! What engines got: nothing while they or their zone are left, no more than their
-//! set point, and little while they are cold.
+//! What engines got: nothing while they are drained or their zone is evacuated, no more than
+//! their set point, and little while they are cold.
 
-use super::evidence::Evidence;
-use super::line::{flag, number, text};
-use super::{Findings, Ground, Rule, Span};
+use crate::deployment::Deployment;
+use crate::evidence::Evidence;
+use crate::fields::{flag, number, text};
+use crate::findings::{Findings, Rule};
+use crate::timeline::ClosedInterval;
 use placement::SlowStart;
 use simd_json::OwnedValue;
 use std::collections::BTreeMap;
 
-/// Bounds in microseconds, from an acknowledgement on.
-const DRAIN: u64 = 4_000_000;
-const EVACUATE: u64 = 5_000_000;
-/// The age of vitals that explains what an engine has past its set point.
-const VITALS: u64 = 500_000;
+/// How long after its acknowledgement a drain may take.
+const DRAIN_LIMIT_US: u64 = 4_000_000;
+/// How long after its acknowledgement an evacuation may take.
+const EVACUATION_LIMIT_US: u64 = 5_000_000;
+/// The age of a load report; it explains what an engine has past its set point.
+const LOAD_REPORT_AGE_US: u64 = 500_000;
 
-/// No job is sent to an engine that is drained, or whose zone is evacuated.
-pub fn check_closed(evidence: &Evidence, findings: &mut Findings) {
+/// Engines write of these events alone.
+pub(crate) fn check_events(evidence: &Evidence, findings: &mut Findings) {
+    for line in &evidence.journals.engines {
+        match text(line, "event") {
+            "received" | "begun-warm" | "begun-cold" | "ended" => {}
+            "declined" | "cancelled" | "broken-body" | "started" => {}
+            other => findings.add(Rule::MalformedJournal, format!("an engine wrote {other:?}")),
+        }
+    }
+}
+
+/// No request is sent to an engine that is drained, or whose zone is evacuated.
+pub(crate) fn check_drained(evidence: &Evidence, findings: &mut Findings) {
     let lines = &evidence.journals.engines;
     for line in lines
         .iter()
@@ -28,37 +42,40 @@
             .max()
             .copied()
             .unwrap_or(arrived);
-        if is_closed(&evidence.drained_engines, engine, at, DRAIN) {
+        if is_closed(&evidence.drained_engines, engine, at, DRAIN_LIMIT_US) {
             findings.add(
-                Rule::Leaving,
-                format!("{engine} got job {id} while leaving"),
+                Rule::Drained,
+                format!("{engine} got request {id} while drained"),
             );
         }
         let zone = evidence
-            .ground
+            .deployment
             .engine_zones
             .get(engine)
             .map_or("", |zone| zone.as_str());
-        if is_closed(&evidence.evacuated_zones, zone, at, EVACUATE) {
-            findings.add(Rule::Evacuated, format!("{engine} got job {id} in {zone}"));
+        if is_closed(&evidence.evacuated_zones, zone, at, EVACUATION_LIMIT_US) {
+            findings.add(
+                Rule::Evacuated,
+                format!("{engine} got request {id} in {zone}"),
+            );
         }
     }
 }
 
-fn is_closed(spans: &[Span], name: &str, at: u64, bound: u64) -> bool {
-    spans
+fn is_closed(intervals: &[ClosedInterval], name: &str, at_us: u64, limit_us: u64) -> bool {
+    intervals
         .iter()
-        .any(|(who, from, until)| who == name && at > from + bound && at < *until)
+        .any(|interval| interval.is_in_force(name, at_us, limit_us))
 }
 
-/// Nor does one get more than it may have.
-pub fn check_load(evidence: &Evidence, findings: &mut Findings) {
+/// No engine gets more than its slow start and its set point allow.
+pub(crate) fn check_load(evidence: &Evidence, findings: &mut Findings) {
     let engines = &evidence.journals.engines;
-    for (engine, text) in cold_starts(evidence.ground, engines) {
-        findings.add(Rule::Flooded, format!("{engine} {text}"));
+    for (engine, text) in overloaded_cold_engines(evidence.deployment, engines) {
+        findings.add(Rule::SlowStart, format!("{engine} {text}"));
     }
-    for (engine, text) in overfull(evidence.ground, engines) {
-        findings.add(Rule::Overfull, format!("{engine} {text}"));
+    for (engine, text) in overloaded(evidence.deployment, engines) {
+        findings.add(Rule::EngineOverload, format!("{engine} {text}"));
     }
 }
 
@@ -74,12 +91,18 @@
     lines
 }
 
-/// Cold starts in which an engine ran more at once than its answers until then
+/// Engines that ran more at once during a cold start than their responses until then
 /// allow: the worst moment of each.
-fn cold_starts(ground: &Ground, engines: &[OwnedValue]) -> Vec<(String, String)> {
+fn overloaded_cold_engines(
+    deployment: &Deployment,
+    engines: &[OwnedValue],
+) -> Vec<(String, String)> {
     let mut worst = Vec::new();
     for (name, lines) in by_engine(engines) {
-        let point = ground.engine_slots.get(name).map_or(0, |slots| slots.1) as u32;
+        let set_point = deployment
+            .engine_slots
+            .get(name)
+            .map_or(0, |slots| slots.set_point) as u32;
         // Running and completed; none while warm.
         let mut cold: Option<(u32, u32)> = None;
         let mut most: Option<(u32, u32, u32)> = None;
@@ -99,8 +122,8 @@
                 }
                 _ => {}
             }
-            let limit = SlowStart::after_responses(*completed).limit(point);
-            if limit == point {
+            let limit = SlowStart::after_responses(*completed).limit(set_point);
+            if limit == set_point {
                 cold = None;
             } else if *running > limit && most.is_none_or(|(past, ..)| *running - limit > past) {
                 most = Some((*running - limit, *running, limit));
@@ -116,12 +139,12 @@
     worst
 }
 
-/// Engines that held more than their set point, leaving out what came within
-/// the age that vitals may have: the worst moment of each.
-fn overfull(ground: &Ground, engines: &[OwnedValue]) -> Vec<(String, String)> {
+/// Engines that held more than their set point, leaving out what came within the age that
+/// a load report may have: the worst moment of each.
+fn overloaded(deployment: &Deployment, engines: &[OwnedValue]) -> Vec<(String, String)> {
     let mut worst = Vec::new();
     for (name, lines) in by_engine(engines) {
-        let Some((slots, point)) = ground.engine_slots.get(name).copied() else {
+        let Some(slots) = deployment.engine_slots.get(name).copied() else {
             continue;
         };
         let mut held: BTreeMap<&str, u64> = BTreeMap::new();
@@ -134,13 +157,16 @@
                 "begun-warm" | "begun-cold" => {}
                 _ => drop(held.remove(text(line, "job"))),
             }
-            let old = held.values().filter(|came| **came + VITALS < at).count() as u64;
+            let old = held
+                .values()
+                .filter(|came| **came + LOAD_REPORT_AGE_US < at)
+                .count() as u64;
             most = most.max((old, held.len() as u64));
         }
-        if most.0 > point {
+        if most.0 > slots.set_point {
             let text = format!(
-                "held {} of {slots} slots for over 500 ms, {point} are its set point",
-                most.0
+                "held {} of {} slots for over 500 ms, {} are its set point",
+                most.0, slots.total, slots.set_point
             );
             worst.push((name.to_string(), text));
         }
--- a/checker/src/evidence.rs
+++ b/checker/src/evidence.rs
@@ -1,74 +1,97 @@
-//! The journals, put in order once for all rules.
+//! The journals, sorted and indexed once for all rules.
 
-use super::changes::{closed_spans, homes_over_time, Homes, Span};
-use super::line::{number, text};
-use super::{Ground, Journals};
+use crate::deployment::Deployment;
+use crate::fields::{number, text};
+use crate::journals::{log_messages, Journals};
+use crate::timeline::{closed_intervals, home_histories, ClosedInterval, Commands, HomeHistory};
 use simd_json::OwnedValue;
 use std::collections::BTreeMap;
 
-/// One run of a job: the engine, and the engine's number for it.
-pub type Run<'a> = (&'a str, u64);
+/// One run of a request: the engine, and the engine's number for it.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) struct Run<'a> {
+    pub(crate) engine: &'a str,
+    pub(crate) number: u64,
+}
 
-/// What engines wrote of one job.
+/// What engines wrote of one request.
 #[derive(Default)]
-pub struct EngineRecord<'a> {
-    pub received: Vec<&'a OwnedValue>,
-    pub begun: Vec<Run<'a>>,
-    pub ended: Vec<Run<'a>>,
+pub(crate) struct EngineRecord<'a> {
+    pub(crate) received: Vec<&'a OwnedValue>,
+    pub(crate) begun: Vec<Run<'a>>,
+    pub(crate) ended: Vec<Run<'a>>,
 }
 
-/// What is known of a day, by job, tenant, engine and zone.
-pub struct Evidence<'a> {
-    pub ground: &'a Ground,
-    pub journals: &'a Journals,
-    /// What engines wrote, by job.
-    pub by_job: BTreeMap<&'a str, EngineRecord<'a>>,
-    /// What its caller wrote, by job.
-    pub callers: BTreeMap<&'a str, &'a OwnedValue>,
-    /// When a process sent a job to an engine. What was sent in time may arrive
-    /// late, by the network or by an engine that froze: it is judged by these.
-    pub dispatched: BTreeMap<(&'a str, &'a str), Vec<u64>>,
-    /// When callers called, in order.
-    pub arrivals: Vec<u64>,
+/// The journals by request, tenant, engine and zone.
+pub(crate) struct Evidence<'a> {
+    pub(crate) deployment: &'a Deployment,
+    pub(crate) journals: &'a Journals,
+    /// What engines wrote, by request.
+    pub(crate) by_request: BTreeMap<&'a str, EngineRecord<'a>>,
+    /// What its client wrote, by request.
+    pub(crate) clients: BTreeMap<&'a str, &'a OwnedValue>,
+    /// When a node sent a request to an engine, by request and engine. What was sent in
+    /// time may arrive late, because of the network or an engine that froze.
+    pub(crate) dispatched: BTreeMap<(&'a str, &'a str), Vec<u64>>,
+    /// When clients sent their requests, in order.
+    pub(crate) arrivals: Vec<u64>,
     /// Operators' lines with an epoch, in the order of their acknowledgements.
-    pub acknowledged: Vec<&'a OwnedValue>,
-    pub drained_engines: Vec<Span>,
-    pub evacuated_zones: Vec<Span>,
-    /// Tenants whose key was taken away.
-    pub removed_keys: Vec<Span>,
+    pub(crate) acknowledged: Vec<&'a OwnedValue>,
+    pub(crate) drained_engines: Vec<ClosedInterval>,
+    pub(crate) evacuated_zones: Vec<ClosedInterval>,
+    /// Tenants whose key was revoked.
+    pub(crate) revoked_keys: Vec<ClosedInterval>,
     /// By tenant.
-    pub homes: BTreeMap<String, Homes>,
+    pub(crate) homes: BTreeMap<String, HomeHistory>,
 }
 
+const DRAIN: Commands = Commands {
+    begin: "engine-state draining",
+    end: &["engine-state serving", "engine"],
+    name_field: "name",
+};
+const EVACUATION: Commands = Commands {
+    begin: "evacuate",
+    end: &["give-back"],
+    name_field: "zone",
+};
+const KEY_REVOCATION: Commands = Commands {
+    begin: "key-gone",
+    end: &["key"],
+    name_field: "tenant",
+};
+
 impl<'a> Evidence<'a> {
-    pub fn of(ground: &'a Ground, journals: &'a Journals) -> Evidence<'a> {
+    pub(crate) fn new(deployment: &'a Deployment, journals: &'a Journals) -> Evidence<'a> {
         let operators = &journals.operators;
-        let drain_ends = ["engine-state serving", "engine"];
         Evidence {
-            ground,
+            deployment,
             journals,
-            by_job: by_job(journals),
-            callers: journals
-                .callers
+            by_request: by_request(journals),
+            clients: journals
+                .clients
                 .iter()
                 .map(|line| (text(line, "job"), line))
                 .collect(),
             dispatched: dispatched(journals),
             arrivals: arrivals(journals),
             acknowledged: acknowledged(journals),
-            drained_engines: closed_spans(operators, "engine-state draining", &drain_ends, "name"),
-            evacuated_zones: closed_spans(operators, "evacuate", &["give-back"], "zone"),
-            removed_keys: closed_spans(operators, "key-gone", &["key"], "tenant"),
-            homes: homes_over_time(ground, operators),
+            drained_engines: closed_intervals(operators, &DRAIN),
+            evacuated_zones: closed_intervals(operators, &EVACUATION),
+            revoked_keys: closed_intervals(operators, &KEY_REVOCATION),
+            homes: home_histories(deployment, operators),
         }
     }
 }
 
-fn by_job(journals: &Journals) -> BTreeMap<&str, EngineRecord<'_>> {
-    let mut by_job: BTreeMap<&str, EngineRecord> = BTreeMap::new();
+fn by_request(journals: &Journals) -> BTreeMap<&str, EngineRecord<'_>> {
+    let mut by_request: BTreeMap<&str, EngineRecord> = BTreeMap::new();
     for line in &journals.engines {
-        let record = by_job.entry(text(line, "job")).or_default();
-        let run = (text(line, "engine"), number(line, "run"));
+        let record = by_request.entry(text(line, "job")).or_default();
+        let run = Run {
+            engine: text(line, "engine"),
+            number: number(line, "run"),
+        };
         match text(line, "event") {
             "received" => record.received.push(line),
             "begun-warm" | "begun-cold" => record.begun.push(run),
@@ -76,7 +99,7 @@
             _ => {}
         }
     }
-    by_job
+    by_request
 }
 
 fn dispatched(journals: &Journals) -> BTreeMap<(&str, &str), Vec<u64>> {
@@ -84,7 +107,7 @@
     for line in journals
         .nodes
         .iter()
-        .filter(|line| text(line, "what") == "dispatched")
+        .filter(|line| text(line, "what") == log_messages::DISPATCHED)
     {
         let key = (text(line, "job"), text(line, "engine"));
         dispatched.entry(key).or_default().push(number(line, "at"));
@@ -94,7 +117,7 @@
 
 fn arrivals(journals: &Journals) -> Vec<u64> {
     let mut arrivals: Vec<u64> = journals
-        .callers
+        .clients
         .iter()
         .map(|line| number(line, "at"))
         .collect();
--- a/checker/src/line.rs
+++ b/checker/src/fields.rs
@@ -11,12 +11,12 @@
 }
 
 /// A whole number, or 0.
-pub fn number(line: &OwnedValue, name: &str) -> u64 {
+pub(crate) fn number(line: &OwnedValue, name: &str) -> u64 {
     line.get(name).and_then(|value| value.as_u64()).unwrap_or(0)
 }
 
 /// A truth value, or the default.
-pub fn flag(line: &OwnedValue, name: &str, default: bool) -> bool {
+pub(crate) fn flag(line: &OwnedValue, name: &str, default: bool) -> bool {
     line.get(name)
         .and_then(|value| value.as_bool())
         .unwrap_or(default)
--- a/checker/src/quotas.rs
+++ b/checker/src/quotas.rs
@@ -1,60 +1,52 @@
-//! Tenants come not much past their pace, and are not refused within it: judged by
-//! a bucket that sees every arrival in its order.
+//! Tenants get not much more than their quota, and are not refused within it: judged by a
+//! token bucket that sees every arrival in its order.
 
-use super::evidence::Evidence;
-use super::line::{number, text};
-use super::{Findings, Rule};
+use crate::deployment::Quota;
+use crate::evidence::Evidence;
+use crate::fields::{number, text};
+use crate::findings::{Findings, Rule};
+use crate::journals::log_messages;
 use simd_json::OwnedValue;
 use std::collections::BTreeMap;
 
-/// How long a job may wait for its tenant's pace, in microseconds.
-const QUEUE: u64 = 1_000_000;
-/// How much past its pace, over its burst, a tenant may come.
-const PAST_PACE: f64 = 1.1;
+/// How long a request may wait for its tenant's quota.
+const QUEUE_LIMIT_US: u64 = 1_000_000;
+/// How much more than its burst and rate a tenant may get.
+const QUOTA_TOLERANCE: f64 = 1.1;
 
-/// Jobs a second, and the burst.
-#[derive(Clone, Copy)]
-struct Quota {
-    pace: f64,
-    burst: f64,
-}
-
-pub fn check(evidence: &Evidence, findings: &mut Findings) {
+pub(crate) fn check(evidence: &Evidence, findings: &mut Findings) {
     let admitted = admitted(evidence);
-    for (tenant, (pace, burst)) in &evidence.ground.paces {
-        let quota = Quota {
-            pace: *pace as f64,
-            burst: *burst as f64,
-        };
-        let callers = &evidence.journals.callers;
-        let mut lines: Vec<&OwnedValue> = callers
+    for (tenant, quota) in &evidence.deployment.quotas {
+        let clients = &evidence.journals.clients;
+        let mut lines: Vec<&OwnedValue> = clients
             .iter()
             .filter(|line| text(line, "tenant") == tenant)
             .collect();
         lines.sort_by_key(|line| number(line, "at"));
-        check_refused(tenant, quota, &lines, findings);
-        let times = times_let_in(evidence, &admitted, &lines);
-        check_passed(tenant, quota, &times, findings);
+        check_refused(tenant, *quota, &lines, findings);
+        let times = admission_times(evidence, &admitted, &lines);
+        check_exceeded(tenant, *quota, &times, findings);
     }
 }
 
-/// When nodes admitted each job.
+/// When nodes admitted each request.
 fn admitted<'a>(evidence: &Evidence<'a>) -> BTreeMap<&'a str, u64> {
     let lines = evidence.journals.nodes.iter();
     lines
-        .filter(|line| text(line, "what") == "admitted")
+        .filter(|line| text(line, "what") == log_messages::ADMITTED)
         .map(|line| (text(line, "job"), number(line, "at")))
         .collect()
 }
 
-/// When each job came, and what the bucket held then.
+/// When each request came, and what the bucket held then.
 fn bucket_levels(quota: Quota, lines: &[&OwnedValue]) -> Vec<(u64, f64)> {
     let mut levels = Vec::new();
-    let mut level = quota.burst;
+    let (rate, burst) = (quota.requests_per_s as f64, quota.burst as f64);
+    let mut level = burst;
     let mut before = lines.first().map_or(0, |line| number(line, "at"));
     for line in lines {
         let at = number(line, "at");
-        level = (level + (at - before) as f64 / 1e6 * quota.pace).min(quota.burst);
+        level = (level + (at - before) as f64 / 1e6 * rate).min(burst);
         before = at;
         levels.push((at, level));
         if level >= 1.0 {
@@ -66,34 +58,34 @@
 
 fn check_refused(tenant: &str, quota: Quota, lines: &[&OwnedValue], findings: &mut Findings) {
     let levels = bucket_levels(quota, lines);
-    // A job waits among those that come with it; who is past its quota within
+    // A request waits among those that come with it; a tenant that exceeds its quota in
     // that time was not within it.
     let is_within = |first: usize| {
         let (from, _) = levels[first];
         let mut near = levels[first..]
             .iter()
-            .take_while(|(at, _)| *at <= from + QUEUE);
-        near.all(|(_, level)| *level >= quota.burst / 2.0)
+            .take_while(|(at, _)| *at <= from + QUEUE_LIMIT_US);
+        near.all(|(_, level)| *level >= quota.burst as f64 / 2.0)
     };
     let is_wrong =
         |(at, line): &(usize, &&OwnedValue)| text(line, "code") == "quota" && is_within(*at);
     let refused = lines.iter().enumerate().filter(is_wrong).count();
     if refused > 0 {
         let text = format!("{tenant} was refused {refused} times while within its quota");
-        findings.add(Rule::QuotaRefused, text);
+        findings.add(Rule::RefusedWithinQuota, text);
     }
 }
 
-/// When each job was let in, or, where nobody wrote that, when it came to an
-/// engine: some wait for room between.
-fn times_let_in(
+/// When each request was admitted, or, where no node logged that, when an engine received
+/// it: some wait for capacity in between.
+fn admission_times(
     evidence: &Evidence,
     admitted: &BTreeMap<&str, u64>,
     lines: &[&OwnedValue],
 ) -> Vec<u64> {
-    let let_in = |line: &&OwnedValue| {
+    let admission = |line: &&OwnedValue| {
         let id = text(line, "job");
-        let record = evidence.by_job.get(id)?;
+        let record = evidence.by_request.get(id)?;
         let came = record
             .received
             .iter()
@@ -101,18 +93,19 @@
             .min()?;
         Some(admitted.get(id).copied().unwrap_or(came))
     };
-    let mut times: Vec<u64> = lines.iter().filter_map(let_in).collect();
+    let mut times: Vec<u64> = lines.iter().filter_map(admission).collect();
     times.sort_unstable();
     times
 }
 
-fn check_passed(tenant: &str, quota: Quota, times: &[u64], findings: &mut Findings) {
-    // How far past, with how many jobs, in how many seconds.
+fn check_exceeded(tenant: &str, quota: Quota, times: &[u64], findings: &mut Findings) {
+    let (rate, burst) = (quota.requests_per_s as f64, quota.burst as f64);
+    // How far past the quota, with how many requests, in how many seconds.
     let mut worst = (0.0, 0, 0.0);
     for (first, from) in times.iter().enumerate() {
         for (count, until) in times[first..].iter().enumerate() {
             let seconds = (until - from) as f64 / 1e6;
-            let allowed = (quota.burst + seconds * quota.pace) * PAST_PACE + 1.0;
+            let allowed = (burst + seconds * rate) * QUOTA_TOLERANCE + 1.0;
             let past = (count + 1) as f64 - allowed;
             if past > worst.0 {
                 worst = (past, count + 1, seconds);
@@ -121,8 +114,7 @@
     }
     if worst.0 > 0.0 {
         let (_, count, seconds) = worst;
-        let pace = quota.pace;
-        let text = format!("{tenant} got {count} jobs in {seconds:.1} s at a pace of {pace}");
-        findings.add(Rule::QuotaPassed, text);
+        let text = format!("{tenant} got {count} requests in {seconds:.1} s at {rate} a second");
+        findings.add(Rule::QuotaExceeded, text);
     }
 }
--- a/checker/src/requests.rs
+++ b/checker/src/responses.rs
@@ -1,18 +1,18 @@
-//! What callers saw of their jobs, against what engines ran.
+//! The responses that clients got, against what engines ran.
 
-use super::changes::allows;
-use super::evidence::{EngineRecord, Evidence};
-use super::line::{flag, number, text};
-use super::{Findings, Rule, APPLY};
+use crate::evidence::{EngineRecord, Evidence, Run};
+use crate::fields::{flag, number, text};
+use crate::findings::{Findings, Rule};
+use crate::timeline::PROPAGATION_LIMIT_US;
 use simd_json::OwnedValue;
 use std::collections::BTreeMap;
 
-/// Refusals after which a caller is to be told when to come again.
+/// Status codes of refusals that must say when to come back.
 const RETRYABLE: [u64; 5] = [408, 429, 502, 503, 504];
 
-pub fn check(evidence: &Evidence, findings: &mut Findings) {
-    for line in &evidence.journals.callers {
-        let record = evidence.by_job.get(text(line, "job"));
+pub(crate) fn check(evidence: &Evidence, findings: &mut Findings) {
+    for line in &evidence.journals.clients {
+        let record = evidence.by_request.get(text(line, "job"));
         check_outcome(evidence, line, record, findings);
         check_homes(evidence, line, record, findings);
     }
@@ -29,12 +29,12 @@
     match text(line, "seen") {
         "refused" => check_refusal(line, record, findings),
         "whole" => {
-            check_whole(line, record, findings);
+            check_complete(line, record, findings);
             check_key(evidence, line, findings);
         }
         "wrong" => findings.add(
-            Rule::OneRunWhole,
-            format!("job {id}: {}", text(line, "text")),
+            Rule::CompleteResponse,
+            format!("request {id}: {}", text(line, "text")),
         ),
         _ => {}
     }
@@ -44,11 +44,11 @@
     let (id, outcome) = (text(line, "job"), text(line, "outcome"));
     let has_run = record.is_some_and(|record| !record.begun.is_empty());
     if outcome == "not-run" && has_run {
-        let text = format!("job {id} was refused not-run, and run");
+        let text = format!("request {id} was refused not-run, and run");
         return findings.add(Rule::NotRunMeansNotRun, text);
     }
     if !matches!(outcome, "not-run" | "unknown") {
-        let text = format!("job {id} was refused without an outcome");
+        let text = format!("request {id} was refused without an outcome");
         return findings.add(Rule::NotRunMeansNotRun, text);
     }
     let status = number(line, "status");
@@ -56,39 +56,44 @@
         let code = text(line, "code");
         findings.add(
             Rule::RetryAfter,
-            format!("job {id}: {status} {code} says not when"),
+            format!("request {id}: {status} {code} does not say when to come back"),
         );
     }
 }
 
-fn check_whole(line: &OwnedValue, record: Option<&EngineRecord>, findings: &mut Findings) {
-    let run = (text(line, "engine"), number(line, "run"));
+fn check_complete(line: &OwnedValue, record: Option<&EngineRecord>, findings: &mut Findings) {
+    let run = Run {
+        engine: text(line, "engine"),
+        number: number(line, "run"),
+    };
     let is_one = |record: &EngineRecord| record.begun.contains(&run) && record.ended.contains(&run);
     if !record.is_some_and(is_one) {
-        let (id, (engine, run)) = (text(line, "job"), run);
-        let text = format!("job {id} got a whole answer that {engine} did not end as run {run}");
-        findings.add(Rule::OneRunWhole, text);
+        let (id, Run { engine, number }) = (text(line, "job"), run);
+        let text = format!(
+            "request {id} got a complete response that {engine} did not end as run {number}"
+        );
+        findings.add(Rule::CompleteResponse, text);
     }
 }
 
 fn check_key(evidence: &Evidence, line: &OwnedValue, findings: &mut Findings) {
     let id = text(line, "job");
-    // By when it was sent on; it may have waited at a frozen door.
+    // By when it was dispatched; it may have waited at a frozen router.
     let sent = evidence
         .dispatched
         .get(&(id, text(line, "engine")))
         .and_then(|at| at.last());
     let at = sent.copied().unwrap_or(number(line, "at"));
-    let is_late = evidence.removed_keys.iter().any(|(tenant, from, until)| {
-        tenant == text(line, "tenant") && at > from + APPLY && at < *until
-    });
+    let tenant = text(line, "tenant");
+    let mut revocations = evidence.revoked_keys.iter();
+    let is_late = revocations.any(|key| key.is_in_force(tenant, at, PROPAGATION_LIMIT_US));
     if is_late {
-        let text = format!("job {id} was let in by a key that was taken away");
-        findings.add(Rule::KeyTaken, text);
+        let text = format!("request {id} was admitted by a revoked key");
+        findings.add(Rule::RevokedKey, text);
     }
 }
 
-/// No engine outside the tenant's homes gets a job.
+/// No engine outside the tenant's home regions gets a request.
 fn check_homes(
     evidence: &Evidence,
     line: &OwnedValue,
@@ -102,25 +107,25 @@
     for received in record.into_iter().flat_map(|record| &record.received) {
         let engine = text(received, "engine");
         let region = evidence
-            .ground
+            .deployment
             .engine_regions
             .get(engine)
             .map_or("", String::as_str);
-        if !allows(homes, number(received, "at"), region) {
+        if !homes.allows(number(received, "at"), region) {
             findings.add(
-                Rule::Homes,
-                format!("job {id} reached {engine}, outside its homes"),
+                Rule::HomeRegions,
+                format!("request {id} reached {engine}, outside its home regions"),
             );
         }
     }
 }
 
-/// A job that must not be repeated runs once, over all its caller's rounds.
+/// A request that must not be repeated runs once, over all its client's attempts.
 fn check_runs(evidence: &Evidence, findings: &mut Findings) {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for line in evidence
         .journals
-        .callers
+        .clients
         .iter()
         .filter(|line| flag(line, "once", true))
     {
@@ -130,11 +135,14 @@
             root => root,
         };
         *runs.entry(root).or_default() += evidence
-            .by_job
+            .by_request
             .get(id)
             .map_or(0, |record| record.begun.len());
     }
     for (root, count) in runs.iter().filter(|(_, count)| **count > 1) {
-        findings.add(Rule::NotTwice, format!("job {root} was run {count} times"));
+        findings.add(
+            Rule::AtMostOnce,
+            format!("request {root} was run {count} times"),
+        );
     }
 }
--- a/checker/src/retries.rs
+++ b/checker/src/retries.rs
@@ -1,26 +1,33 @@
-//! Retries stay a small part of all jobs.
+//! Retries stay a bounded part of all requests.
 
-use super::evidence::Evidence;
-use super::line::{number, text};
-use super::{Findings, Rule};
+use crate::evidence::Evidence;
+use crate::fields::{number, text};
+use crate::findings::{Findings, Rule};
+use crate::journals::log_messages;
 use placement::RETRY_TOKEN_LIFETIME_MS;
 use std::collections::BTreeMap;
 
-/// Further rounds are judged over windows of this length.
-const WINDOW: u64 = 10_000_000;
+/// Retries are judged over windows of this length.
+const WINDOW_US: u64 = 10_000_000;
 
-pub fn check(evidence: &Evidence, findings: &mut Findings) {
-    if let Some((from, many, of)) = worst_window(&retries(evidence), &evidence.arrivals) {
-        let text = format!("{many} further rounds for {of} jobs in 10 s from {from}");
-        findings.add(Rule::Retries, text);
+pub(crate) fn check(evidence: &Evidence, findings: &mut Findings) {
+    if let Some(worst) = worst_window(&retries(evidence), &evidence.arrivals) {
+        let Window {
+            from_us,
+            retries,
+            arrivals,
+        } = worst;
+        let text = format!("{retries} retries for {arrivals} requests in 10 s from {from_us}");
+        findings.add(Rule::RetryBudget, text);
     }
 }
 
-/// When each round beyond a job's first was, whoever noticed it.
+/// When each attempt beyond a request's first was, by the nodes' logs or the engines'
+/// journals, whichever has more.
 fn retries(evidence: &Evidence) -> Vec<u64> {
     let mut noted: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for line in &evidence.journals.nodes {
-        if text(line, "what") == "a further round" {
+        if text(line, "what") == log_messages::RETRIED {
             noted
                 .entry(text(line, "job"))
                 .or_default()
@@ -29,9 +36,9 @@
     }
     let mut retries: Vec<u64> = Vec::new();
     let called = evidence
-        .by_job
+        .by_request
         .iter()
-        .filter(|(id, _)| evidence.callers.contains_key(**id));
+        .filter(|(id, _)| evidence.clients.contains_key(**id));
     for (id, record) in called {
         let mut received: Vec<u64> = record
             .received
@@ -52,21 +59,38 @@
     retries
 }
 
-/// The window in which further rounds went furthest past a fifth of the jobs
-/// that arrived in it, or shortly before, as long as what they earn lives.
-fn worst_window(rounds: &[u64], arrivals: &[u64]) -> Option<(u64, usize, usize)> {
+/// A span of time with its retries, and the arrivals that pay for them.
+struct Window {
+    from_us: u64,
+    retries: usize,
+    arrivals: usize,
+}
+
+impl Window {
+    /// How far its retries go past a fifth of its arrivals, times five.
+    fn excess(&self) -> Option<usize> {
+        (self.retries * 5)
+            .checked_sub(self.arrivals)
+            .filter(|excess| *excess > 0)
+    }
+}
+
+/// The window in which retries went furthest past a fifth of the requests that arrived in
+/// it, or before it within the lifetime of a retry token.
+fn worst_window(retries: &[u64], arrivals: &[u64]) -> Option<Window> {
     let between = |list: &[u64], from: u64, until: u64| {
         list.partition_point(|at| *at <= until) - list.partition_point(|at| *at < from)
     };
-    let life = RETRY_TOKEN_LIFETIME_MS * 1000;
-    let past = rounds.iter().map(|from| {
-        let (until, earlier) = (from + WINDOW, from.saturating_sub(life));
-        (
-            *from,
-            between(rounds, *from, until),
-            between(arrivals, earlier, until),
-        )
+    let lifetime_us = RETRY_TOKEN_LIFETIME_MS * 1000;
+    let windows = retries.iter().map(|from| {
+        let until = from + WINDOW_US;
+        Window {
+            from_us: *from,
+            retries: between(retries, *from, until),
+            arrivals: between(arrivals, from.saturating_sub(lifetime_us), until),
+        }
     });
-    past.filter(|(_, many, of)| many * 5 > *of)
-        .max_by_key(|(_, many, of)| many * 5 - of)
+    windows
+        .filter(|window| window.excess().is_some())
+        .max_by_key(|window| window.excess())
 }
--- a/checker/tests/checker.rs
+++ b/checker/tests/checker.rs
@@ -1,6 +1,6 @@
 //! The checker finds what breaks a rule, and nothing else.
 
-use checker::{check, Ground, Journals, Rule};
+use checker::{check, Deployment, EngineSlots, Journals, Quota, Rule};
 use simd_json::OwnedValue;
 
 const S: u64 = 1_000_000;
@@ -14,21 +14,32 @@
         .collect()
 }
 
-fn ground() -> Ground {
+fn deployment() -> Deployment {
     let map = |pairs: &[(&str, &str)]| {
         pairs
             .iter()
             .map(|(a, b)| (a.to_string(), b.to_string()))
             .collect()
     };
-    Ground {
+    let slots = EngineSlots {
+        total: 8,
+        set_point: 7,
+    };
+    Deployment {
         engine_regions: map(&[("e1", "north"), ("e2", "south")]),
         engine_zones: map(&[("e1", "north-a"), ("e2", "south-a")]),
-        engine_slots: [("e1".to_string(), (8, 7)), ("e2".to_string(), (8, 7))].into(),
+        engine_slots: [("e1".to_string(), slots), ("e2".to_string(), slots)].into(),
         node_regions: map(&[("r1", "north"), ("r2", "south"), ("d1", "south")]),
         zone_regions: map(&[("north-a", "north"), ("south-a", "south")]),
-        homes: [("ana".to_string(), ["north".to_string()].into())].into(),
-        paces: [("pia".to_string(), (2, 4))].into(),
+        home_regions: [("ana".to_string(), ["north".to_string()].into())].into(),
+        quotas: [(
+            "pia".to_string(),
+            Quota {
+                requests_per_s: 2,
+                burst: 4,
+            },
+        )]
+        .into(),
     }
 }
 
@@ -45,7 +56,7 @@
         .collect()
 }
 
-fn caller(job: &str, at: u64, rest: &str) -> String {
+fn client(job: &str, at: u64, rest: &str) -> String {
     format!(r#"{{"at":{at},"job":"{job}","tenant":"ana","once":true,{rest}}}"#) + "\n"
 }
 
@@ -71,100 +82,100 @@
         (
             "well",
             ran("j", "e1", 1, S),
-            caller("j", S, WHOLE),
+            client("j", S, WHOLE),
             String::new(),
             vec![],
         ),
         (
             "twice",
             ran("j", "e1", 1, S) + &ran("j", "e1", 2, S),
-            caller("j", S, WHOLE),
+            client("j", S, WHOLE),
             String::new(),
-            vec![Rule::NotTwice, Rule::Retries],
+            vec![Rule::AtMostOnce, Rule::RetryBudget],
         ),
         (
             "not run, and run",
             ran("j", "e1", 1, S),
-            caller("j", S, NOT_RUN),
+            client("j", S, NOT_RUN),
             String::new(),
             vec![Rule::NotRunMeansNotRun],
         ),
         (
             "no outcome",
             String::new(),
-            caller("j", S, r#""seen":"refused""#),
+            client("j", S, r#""seen":"refused""#),
             String::new(),
             vec![Rule::NotRunMeansNotRun],
         ),
         (
             "not run",
             String::new(),
-            caller("j", S, NOT_RUN),
+            client("j", S, NOT_RUN),
             String::new(),
             vec![],
         ),
         (
             "made up",
             String::new(),
-            caller("j", S, WHOLE),
+            client("j", S, WHOLE),
             String::new(),
-            vec![Rule::OneRunWhole],
+            vec![Rule::CompleteResponse],
         ),
         (
             "wrong",
             String::new(),
-            caller("j", S, r#""seen":"wrong","text":"a gap""#),
+            client("j", S, r#""seen":"wrong","text":"a gap""#),
             String::new(),
-            vec![Rule::OneRunWhole],
+            vec![Rule::CompleteResponse],
         ),
         (
             "broken is allowed",
             ran("j", "e1", 1, S),
-            caller("j", S, r#""seen":"broken""#),
+            client("j", S, r#""seen":"broken""#),
             String::new(),
             vec![],
         ),
         (
             "away",
             ran("j", "e2", 1, S),
-            caller("j", S, r#""seen":"broken""#),
+            client("j", S, r#""seen":"broken""#),
             String::new(),
-            vec![Rule::Homes],
+            vec![Rule::HomeRegions],
         ),
         (
             "drained, in time",
             ran("j", "e1", 1, 4 * S),
-            caller("j", S, WHOLE),
+            client("j", S, WHOLE),
             drain.clone(),
             vec![],
         ),
         (
             "drained",
             ran("j", "e1", 1, 7 * S),
-            caller("j", S, WHOLE),
+            client("j", S, WHOLE),
             drain.clone(),
-            vec![Rule::Leaving],
+            vec![Rule::Drained],
         ),
         (
             "drained and back",
             ran("j", "e1", 1, 10 * S),
-            caller("j", S, WHOLE),
+            client("j", S, WHOLE),
             drain + &serve,
             vec![],
         ),
         (
             "emptied",
             ran("j", "e1", 1, 7 * S),
-            caller("j", S, WHOLE),
+            client("j", S, WHOLE),
             empty,
             vec![Rule::Evacuated],
         ),
         (
             "key taken",
             ran("j", "e1", 1, 7 * S),
-            caller("j", 7 * S, WHOLE),
+            client("j", 7 * S, WHOLE),
             gone,
-            vec![Rule::KeyTaken],
+            vec![Rule::RevokedKey],
         ),
         (
             "epochs fall",
@@ -172,17 +183,20 @@
             String::new(),
             operator(S, r#""do":"evacuate","zone":"x","epoch":9"#)
                 + &operator(2 * S, r#""do":"evacuate","zone":"x","epoch":8"#),
-            vec![Rule::Epochs],
+            vec![Rule::EpochOrder],
         ),
     ];
-    for (name, engines, callers, operators, wanted) in cases {
+    for (name, engines, clients, operators, wanted) in cases {
         let journals = Journals {
             engines: lines(&engines),
-            callers: lines(&callers),
+            clients: lines(&clients),
             operators: lines(&operators),
             ..Journals::default()
         };
-        let found: Vec<Rule> = check(&ground(), &journals).iter().map(|f| f.rule).collect();
+        let found: Vec<Rule> = check(&deployment(), &journals)
+            .iter()
+            .map(|f| f.rule)
+            .collect();
         assert_eq!(found, wanted, "{name}");
     }
 }
@@ -202,13 +216,13 @@
             engines: lines(&(start + &begun + &ended)),
             ..Journals::default()
         };
-        check(&ground(), &journals)
+        check(&deployment(), &journals)
             .iter()
             .map(|f| f.rule)
             .collect::<Vec<_>>()
     };
     assert_eq!(run(true, 1), []);
-    assert_eq!(run(true, 2), [Rule::Flooded]);
+    assert_eq!(run(true, 2), [Rule::SlowStart]);
     assert_eq!(run(false, 8), [], "a warm one may be full");
 }
 
@@ -226,21 +240,24 @@
         };
         (
             (0..2).map(received).collect::<String>(),
-            caller(&id, S, r#""seen":"broken""#),
+            client(&id, S, r#""seen":"broken""#),
         )
     };
-    let (engines, callers): (Vec<String>, Vec<String>) = (0..100).map(job).unzip();
+    let (engines, clients): (Vec<String>, Vec<String>) = (0..100).map(job).unzip();
     let journals = Journals {
         engines: lines(&engines.concat()),
-        callers: lines(&callers.concat()),
+        clients: lines(&clients.concat()),
         ..Journals::default()
     };
-    let found: Vec<Rule> = check(&ground(), &journals).iter().map(|f| f.rule).collect();
-    assert_eq!(found, [Rule::Retries]);
+    let found: Vec<Rule> = check(&deployment(), &journals)
+        .iter()
+        .map(|f| f.rule)
+        .collect();
+    assert_eq!(found, [Rule::RetryBudget]);
 }
 
 fn found(journals: &Journals) -> Vec<Rule> {
-    check(&ground(), journals)
+    check(&deployment(), journals)
         .iter()
         .map(|finding| finding.rule)
         .collect()
@@ -272,7 +289,7 @@
             "a machine elsewhere",
             node(S, "d1", body),
             none(),
-            vec![Rule::Homes],
+            vec![Rule::HomeRegions],
         ),
         (
             "a home that is new",
@@ -297,7 +314,7 @@
             "back",
             node(S, "r1", &sent(5)) + &node(2 * S, "r1", &sent(4)),
             none(),
-            vec![Rule::Epochs],
+            vec![Rule::EpochOrder],
         ),
         (
             "two nodes",
@@ -309,7 +326,7 @@
             "a round more",
             node(S, "r1", "\"a further round\""),
             none(),
-            vec![Rule::Retries],
+            vec![Rule::RetryBudget],
         ),
         (
             "an end",
@@ -321,7 +338,7 @@
     for (name, nodes, operators, wanted) in cases {
         let journals = Journals {
             nodes: lines(&nodes),
-            callers: lines(&caller("j", S, r#""zone":"north-a","seen":"broken""#)),
+            clients: lines(&client("j", S, r#""zone":"north-a","seen":"broken""#)),
             operators: lines(&operators),
             ..Journals::default()
         };
@@ -337,14 +354,14 @@
     };
     let well = |at: u64| format!(r#"{{"at":{at},"action":"start","all_well":true}}"#) + "\n";
     let gone = |done: u64| {
-        caller(
+        client(
             "j",
             S,
             &format!(r#""done":{done},"seen":"whole","engine":"e1","run":1"#),
-        ) + &caller("k", 30 * S, r#""seen":"broken""#)
+        ) + &client("k", 30 * S, r#""seen":"broken""#)
     };
     let refused = |rest: &str| {
-        caller(
+        client(
             "j",
             S,
             &format!(r#""seen":"refused","outcome":"not-run",{rest}"#),
@@ -364,14 +381,14 @@
             operator(r#""remembered":null"#),
             none(),
             none(),
-            vec![Rule::Lost],
+            vec![Rule::LostChange],
         ),
         (
             "another",
             operator(r#""remembered":9"#),
             none(),
             none(),
-            vec![Rule::Lost],
+            vec![Rule::LostChange],
         ),
         (
             "slow",
@@ -393,7 +410,7 @@
             none(),
             gone(16 * S),
             well(3 * S),
-            vec![Rule::Back],
+            vec![Rule::RecoveryTime],
         ),
         (
             "when",
@@ -411,10 +428,10 @@
         ),
         ("no use", none(), refused(r#""status":401"#), none(), vec![]),
     ];
-    for (name, operators, callers, machines, wanted) in cases {
+    for (name, operators, clients, machines, wanted) in cases {
         let journals = Journals {
             operators: lines(&operators),
-            callers: lines(&callers),
+            clients: lines(&clients),
             machines: lines(&machines),
             engines: lines(&if name.ends_with("back") {
                 ran("j", "e1", 1, S)
@@ -433,7 +450,7 @@
     let round = |id: &str, run: u64, seen: &str| {
         (
             ran(id, "e1", run, run * S),
-            caller(id, run * S, &format!(r#""root":"j",{seen}"#)),
+            client(id, run * S, &format!(r#""root":"j",{seen}"#)),
         )
     };
     let (first, second) = (
@@ -442,10 +459,10 @@
     );
     let journals = Journals {
         engines: lines(&(first.0 + &second.0)),
-        callers: lines(&(first.1 + &second.1)),
+        clients: lines(&(first.1 + &second.1)),
         ..Journals::default()
     };
-    assert_eq!(found(&journals), [Rule::NotTwice]);
+    assert_eq!(found(&journals), [Rule::AtMostOnce]);
 }
 
 /// Quotas of two a second and a burst of four; set points of seven.
@@ -466,18 +483,18 @@
     let day = |each: u64, count: u64, seen: &dyn Fn(u64) -> &'static str| {
         let all: Vec<(String, String)> =
             (0..count).map(|n| job(n, S + n * each, seen(n))).collect();
-        let (engines, callers): (Vec<String>, Vec<String>) = all.into_iter().unzip();
+        let (engines, clients): (Vec<String>, Vec<String>) = all.into_iter().unzip();
         found(&Journals {
             engines: lines(&engines.concat()),
-            callers: lines(&callers.concat()),
+            clients: lines(&clients.concat()),
             ..Journals::default()
         })
     };
     assert_eq!(day(S / 2, 40, &|_| broken), []);
-    assert_eq!(day(S / 4, 40, &|_| broken), [Rule::QuotaPassed]);
+    assert_eq!(day(S / 4, 40, &|_| broken), [Rule::QuotaExceeded]);
     assert_eq!(
         day(S / 2, 40, &|n| if n == 30 { refused } else { broken }),
-        [Rule::QuotaRefused]
+        [Rule::RefusedWithinQuota]
     );
     assert_eq!(
         day(S / 4, 40, &|n| if n > 7 && n % 2 == 1 {
@@ -502,5 +519,5 @@
     };
     assert_eq!(held(12, 1000), [], "vitals could not say so yet");
     assert_eq!(held(7, S), []);
-    assert_eq!(held(9, S), [Rule::Overfull]);
+    assert_eq!(held(9, S), [Rule::EngineOverload]);
 }
--- a/testbed/src/bin/scenarios.rs
+++ b/testbed/src/bin/scenarios.rs
@@ -231,7 +231,7 @@
 fn row(name: &str, journals: &checker::Journals, findings: &[checker::Finding]) {
     let seen = |what: &[&str]| {
         journals
-            .callers
+            .clients
             .iter()
             .filter(|line| what.contains(&text(line, "seen")))
             .count()
@@ -240,10 +240,10 @@
         let is_one = |line: &&OwnedValue| {
             text(line, "seen") == "refused" && text(line, "outcome") == outcome
         };
-        journals.callers.iter().filter(is_one).count()
+        journals.clients.iter().filter(is_one).count()
     };
     let mut done: Vec<u64> = journals
-        .callers
+        .clients
         .iter()
         .filter(|line| text(line, "seen") == "whole")
         .filter_map(|line| line.get("done").and_then(|v| v.as_u64()))
@@ -262,7 +262,7 @@
         .count();
     println!(
         "| {name} | {} | {} | {} | {} | {} | {gap} ms | {acknowledged} of {} | {} |",
-        journals.callers.len(),
+        journals.clients.len(),
         seen(&["whole"]),
         refused("not-run") + seen(&["unreached"]),
         refused("unknown"),
--- a/testbed/src/journal.rs
+++ b/testbed/src/journal.rs
@@ -72,7 +72,9 @@
     for line in text.lines() {
         let Ok(mut value) = residency::parse_json(line) else {
             if line.contains("panicked at") {
-                lines.push(json!({ "name": name, "what": "panicked", "text": line }));
+                lines.push(
+                    json!({ "name": name, "what": checker::log_messages::PANICKED, "text": line }),
+                );
             }
             continue;
         };
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -6,7 +6,7 @@
 use crate::day::{Job, Moment, What};
 use crate::fleet::{program, Fleet, Kind};
 use crate::journal::{self, wall, Journal};
-use checker::{check, Finding, Ground, Journals};
+use checker::{check, Deployment, Finding, Journals, Role};
 use parking_lot::Mutex;
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
@@ -511,12 +511,12 @@
 /// Reads the journals of a fleet's run and checks them.
 pub fn judge(fleet: &Fleet, folder: &Path) -> anyhow::Result<(Journals, Vec<Finding>)> {
     let mut journals = Journals {
-        callers: journal::read(&folder.join("callers.jsonl"))?,
+        clients: journal::read(&folder.join("callers.jsonl"))?,
         operators: journal::read(&folder.join("operators.jsonl"))?,
         machines: journal::read(&folder.join("machines.jsonl"))?,
         ..Journals::default()
     };
-    let mut places = Vec::new();
+    let mut processes = Vec::new();
     for process in fleet.processes.values() {
         let path = fleet.journals().join(format!("{}.jsonl", process.name));
         let is_engine = process.kind == Kind::Engine;
@@ -532,26 +532,26 @@
                 .nodes
                 .extend(journal::read_log(&process.name, &log)?);
         }
-        let slots = process
-            .args
-            .get(2)
-            .filter(|_| is_engine)
-            .and_then(|text| text.parse().ok());
-        places.push((
-            &*process.name,
-            is_engine,
-            &*process.region,
-            &*process.zone,
-            slots.unwrap_or(0),
-        ));
+        let slots = process.args.get(2).and_then(|text| text.parse().ok());
+        processes.push(checker::Process {
+            name: &process.name,
+            role: match is_engine {
+                true => Role::Engine {
+                    slots: slots.unwrap_or(0),
+                },
+                false => Role::Node,
+            },
+            region: &process.region,
+            zone: &process.zone,
+        });
     }
     journals
         .nodes
         .sort_by_key(|line| line.get("at").and_then(|v| v.as_u64()));
-    let findings = check(
-        &Ground::of(&fleet.shape.book, places.into_iter()),
-        &journals,
-    );
+    let topology = residency::Topology::from_json(&fleet.shape.book)
+        .map_err(|problems| anyhow::anyhow!(problems.join("\n")))?;
+    let deployment = Deployment::new(&topology, processes.into_iter());
+    let findings = check(&deployment, &journals);
     Ok((journals, findings))
 }
 
@@ -564,7 +564,7 @@
             .to_string()
     };
     let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
-    for line in &journals.callers {
+    for line in &journals.clients {
         let mut words = vec![text(line, "service"), text(line, "seen")];
         if words[1] == "refused" {
             words.push(text(line, "outcome"));
@@ -572,7 +572,7 @@
         }
         *outcomes.entry(words.join(" ")).or_default() += 1;
     }
-    let mut out = format!("jobs: {}\n", journals.callers.len());
+    let mut out = format!("jobs: {}\n", journals.clients.len());
     for (words, count) in outcomes {
         out.push_str(&format!("  {words:<44} {count}\n"));
     }
@@ -644,8 +644,8 @@
     out.push_str(&format!(
         "further rounds: {:.2} % of jobs\n",
         share(
-            event("received") - journals.callers.len() as f64,
-            journals.callers.len() as f64
+            event("received") - journals.clients.len() as f64,
+            journals.clients.len() as f64
         )
         .max(0.0)
     ));
--- a/testbed/tests/day.rs
+++ b/testbed/tests/day.rs
@@ -59,12 +59,12 @@
             .to_string()
     };
     let roots: BTreeSet<String> = journals
-        .callers
+        .clients
         .iter()
         .map(|line| text(line, "root"))
         .collect();
     let whole = journals
-        .callers
+        .clients
         .iter()
         .filter(|line| text(line, "seen") == "whole")
         .count();
