--- a/dispatch/src/engine_tracker.rs
+++ b/dispatch/src/engine_tracker.rs
@@ -6,7 +6,8 @@
 use hyper_util::rt::TokioIo;
 use parking_lot::Mutex;
 use placement::{
-    EngineHealthTracker, EngineLoadEstimator, EngineSelection, HealthReport, LoadUpdate,
+    EngineHealthStatus, EngineHealthTracker, EngineListChange, EngineLoadEstimator,
+    EngineLoadStatus, EngineSelection, HealthReport, LoadUpdate, PrefillEstimate, SelectedEngine,
     SelectionRequest, HEALTH_REPORT_TIMEOUT_MS,
 };
 use policy::Prompt;
@@ -62,9 +63,8 @@
     /// Until when the job's first byte may go to an engine that is cold.
     until: Option<u64>,
     losses: u64,
-    /// When the job was sent, how long its first event is expected to take, and
-    /// the tokens that count as being read there, until it begins.
-    reading: Option<(u64, f64, f64)>,
+    /// When the request was sent and what is expected of it, until its response begins.
+    reading: Option<(u64, PrefillEstimate)>,
 }
 
 impl Drop for EngineSlot {
@@ -74,8 +74,8 @@
             Sight::Answers(estimates) => {
                 let mut estimates = estimates.lock();
                 estimates.release(&self.name);
-                if let Some((_, _, tokens)) = self.reading {
-                    estimates.finish_prefill(&self.name, tokens);
+                if let Some((_, estimate)) = self.reading {
+                    estimates.finish_prefill(&self.name, estimate.tokens);
                 }
                 self.engine_tracker.load_changed.notify_one();
             }
@@ -135,25 +135,26 @@
     /// The job's bytes leave.
     pub fn sent(&mut self, prompt: &Prompt) {
         if let Sight::Answers(estimates) = &self.engine_tracker.sight {
-            let (expected, tokens) = estimates.lock().record_send(now(), &self.name, prompt);
-            self.reading = Some((now(), expected, tokens));
+            let estimate = estimates.lock().record_send(now(), &self.name, prompt);
+            self.reading = Some((now(), estimate));
             self.engine_tracker.load_changed.notify_one();
         }
     }
 
     /// How long its first event is expected to take.
     pub fn expected_ms(&self) -> f64 {
-        self.reading.map_or(0.0, |(_, expected, _)| expected)
+        self.reading
+            .map_or(0.0, |(_, estimate)| estimate.expected_ms)
     }
 
     /// The answer begins.
     pub fn began(&mut self) {
-        if let (Sight::Answers(estimates), Some((at, expected, tokens))) =
+        if let (Sight::Answers(estimates), Some((at, estimate))) =
             (&self.engine_tracker.sight, self.reading.take())
         {
             let mut estimates = estimates.lock();
-            estimates.finish_prefill(&self.name, tokens);
-            estimates.record_first_event(now(), &self.name, expected, now() - at);
+            estimates.finish_prefill(&self.name, estimate.tokens);
+            estimates.record_first_event(now(), &self.name, estimate.expected_ms, now() - at);
             self.engine_tracker.load_changed.notify_one();
         }
     }
@@ -195,13 +196,19 @@
     }
 
     fn reconcile(self: &Arc<EngineTracker>, view: &View) {
-        let (new, gone) = match &self.sight {
+        let change = match &self.sight {
             Sight::Vitals(engines) => engines.lock().apply_view(now(), view),
-            Sight::Answers(estimates) => (Vec::new(), estimates.lock().apply_view(now(), view)),
+            Sight::Answers(estimates) => EngineListChange {
+                added: Vec::new(),
+                removed: estimates.lock().apply_view(now(), view),
+            },
         };
         let mut readers = self.readers.lock();
-        gone.iter().for_each(|name| drop(readers.remove(name)));
-        for engine in new {
+        change
+            .removed
+            .iter()
+            .for_each(|name| drop(readers.remove(name)));
+        for engine in change.added {
             // Addresses are checked where engines are listed.
             let Ok(address) = engine.address.parse() else {
                 continue;
@@ -310,19 +317,19 @@
             }
         };
         match chosen {
-            EngineSelection::Selected {
+            EngineSelection::Selected(SelectedEngine {
                 name,
                 address,
                 zone,
-                until,
-                losses,
-            } => Selection::Engine(EngineSlot {
+                send_by_ms,
+                interruptions,
+            }) => Selection::Engine(EngineSlot {
                 engine_tracker: Arc::clone(self),
                 address: address.parse().expect("checked when it was followed"),
                 name,
                 zone,
-                until,
-                losses,
+                until: send_by_ms,
+                losses: interruptions,
                 reading: None,
             }),
             EngineSelection::AllFull => Selection::AtCapacity,
@@ -352,15 +359,15 @@
         loop {
             tokio::time::sleep(jitter(PROBE_MS)).await;
             let due = estimates.lock().due_probes(now());
-            for (name, address) in due {
+            for target in due {
                 let (engine_tracker, source) = (Arc::clone(&self), self.source);
-                let Ok(address) = address.parse() else {
+                let Ok(address) = target.address.parse() else {
                     continue;
                 };
                 tokio::spawn(async move {
                     let reached = link::connect(source, address).await;
                     if let (Ok(_), Sight::Answers(estimates)) = (reached, &engine_tracker.sight) {
-                        estimates.lock().record_probe_success(&name);
+                        estimates.lock().record_probe_success(&target.engine);
                         engine_tracker.capacity_changed.notify_waiters();
                     }
                 });
@@ -381,28 +388,29 @@
         let list: Vec<simd_json::OwnedValue> = match &self.sight {
             Sight::Vitals(engines) => {
                 let engines = engines.lock();
-                let line = |(name, own, vitals, limit): (&str, u32, Option<HealthReport>, u32)| {
+                let line = |status: EngineHealthStatus| {
+                    let report = status.report;
                     simd_json::json!({
-                        "name": name,
-                        "own": own,
-                        "running": vitals.map(|v| v.running),
-                        "slots": vitals.map(|v| v.slots),
-                        "limit": limit,
-                        "cold": vitals.map(|v| v.is_warming_up()),
-                        "silent_ms": vitals.map(|v| now() - v.received_at_ms),
+                        "name": status.name,
+                        "own": status.own_requests,
+                        "running": report.map(|report| report.running),
+                        "slots": report.map(|report| report.slots),
+                        "limit": status.limit,
+                        "cold": report.map(|report| report.is_warming_up()),
+                        "silent_ms": report.map(|report| now() - report.received_at_ms),
                     })
                 };
                 engines.statuses(fill).map(line).collect()
             }
             Sight::Answers(estimates) => {
                 let estimates = estimates.lock();
-                let line = |(name, own, is_suspect, is_cold, excess)| {
+                let line = |status: EngineLoadStatus| {
                     simd_json::json!({
-                        "name": name,
-                        "own": own,
-                        "suspect": is_suspect,
-                        "cold": is_cold,
-                        "waits_ms": excess,
+                        "name": status.name,
+                        "own": status.own_requests,
+                        "suspect": status.is_suspect,
+                        "cold": status.is_warming_up,
+                        "waits_ms": status.excess_wait_ms,
                     })
                 };
                 estimates.statuses(now()).map(line).collect()
--- a/placement/src/cache.rs
+++ b/placement/src/cache.rs
@@ -1,172 +1,142 @@
-//! One layer of cached mappings, least recently used ones first to go.
+//! One tier of cached values with a time to live; the least recently used is evicted first.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// What a look-up gave.
+/// The result of a lookup.
 #[derive(Debug, PartialEq)]
 pub enum CacheLookup<T> {
+    /// The value may be used as it is.
     Fresh(T),
-    /// Route by it, and refresh it behind.
+    /// The value may be used, and is to be refreshed in the background.
     Stale(T),
+    /// There is no value, or it has expired.
     Miss,
 }
 
-struct Slot<T> {
+/// A lookup with the time that the value has left.
+#[derive(Debug, PartialEq)]
+pub struct CacheEntry<T> {
+    /// What was found.
+    pub lookup: CacheLookup<T>,
+    /// For how long the value stays fresh; 0 if it is stale or missing.
+    pub fresh_ms: u64,
+    /// For how long the value may be used; 0 if it is missing.
+    pub expire_ms: u64,
+}
+
+impl<T> CacheEntry<T> {
+    fn miss() -> CacheEntry<T> {
+        CacheEntry {
+            lookup: CacheLookup::Miss,
+            fresh_ms: 0,
+            expire_ms: 0,
+        }
+    }
+}
+
+struct StoredValue<T> {
     value: T,
-    fresh_until: u64,
-    expires_at: u64,
-    used: u64,
+    fresh_until_ms: u64,
+    expires_at_ms: u64,
+    /// Its key in `Cache::by_last_use`.
+    last_use: u64,
 }
 
-/// Invariants: `slots` and `order` hold the same keys; no more than `most` of
-/// them; an entry is never answered at or past its expiry.
+/// Invariants: `values` and `by_last_use` hold the same keys, at most `capacity` of them; a
+/// value is never returned at or after its expiry.
 pub struct Cache<T> {
-    slots: HashMap<String, Slot<T>>,
-    order: BTreeMap<u64, String>,
-    most: usize,
+    values: HashMap<String, StoredValue<T>>,
+    by_last_use: BTreeMap<u64, String>,
+    capacity: usize,
+    /// Counts lookups and insertions.
     uses: u64,
 }
 
 impl<T: Clone> Cache<T> {
-    pub fn new(most: usize) -> Cache<T> {
+    /// An empty cache of at most `capacity` values, and at least one.
+    pub fn new(capacity: usize) -> Cache<T> {
         Cache {
-            slots: HashMap::new(),
-            order: BTreeMap::new(),
-            most: most.max(1),
+            values: HashMap::new(),
+            by_last_use: BTreeMap::new(),
+            capacity: capacity.max(1),
             uses: 0,
         }
     }
 
+    /// How many values it holds, expired ones included.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.values.len()
     }
 
+    /// Whether it holds no value.
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.values.is_empty()
     }
 
-    /// Looks up a key; with a hit, the time that it has left: fresh, expiry.
-    pub fn get(&mut self, key: &str, now: u64) -> (CacheLookup<T>, u64, u64) {
+    /// Looks up a key.
+    pub fn get(&mut self, key: &str, now: u64) -> CacheEntry<T> {
         self.uses += 1;
         let uses = self.uses;
-        let Some(slot) = self.slots.get_mut(key) else {
-            return (CacheLookup::Miss, 0, 0);
+        let Some(stored) = self.values.get_mut(key) else {
+            return CacheEntry::miss();
         };
-        if now >= slot.expires_at {
+        if now >= stored.expires_at_ms {
             self.remove(key);
-            return (CacheLookup::Miss, 0, 0);
+            return CacheEntry::miss();
         }
-        self.order.remove(&slot.used);
-        slot.used = uses;
-        self.order.insert(uses, key.to_string());
-        let (fresh, expire) = (slot.fresh_until.saturating_sub(now), slot.expires_at - now);
-        match fresh > 0 {
-            true => (CacheLookup::Fresh(slot.value.clone()), fresh, expire),
-            false => (CacheLookup::Stale(slot.value.clone()), 0, expire),
+        self.by_last_use.remove(&stored.last_use);
+        stored.last_use = uses;
+        self.by_last_use.insert(uses, key.to_string());
+        let fresh_ms = stored.fresh_until_ms.saturating_sub(now);
+        CacheEntry {
+            lookup: match fresh_ms > 0 {
+                true => CacheLookup::Fresh(stored.value.clone()),
+                false => CacheLookup::Stale(stored.value.clone()),
+            },
+            fresh_ms,
+            expire_ms: stored.expires_at_ms - now,
         }
     }
 
-    /// Keeps a mapping. One that is never fresh is not kept, and whatever was
-    /// kept under its key goes.
+    /// Stores a value, evicting the least recently used one if the cache is full. A value
+    /// that is never fresh is not stored; what was stored under its key is removed.
     pub fn insert(&mut self, key: &str, value: T, fresh_ms: u64, expire_ms: u64, now: u64) {
         self.remove(key);
         if fresh_ms == 0 || expire_ms == 0 {
             return;
         }
-        self.keep(key, value, now + fresh_ms, now + expire_ms);
-    }
-
-    fn keep(&mut self, key: &str, value: T, fresh_until: u64, expires_at: u64) {
-        if self.slots.len() == self.most {
-            if let Some((_, oldest)) = self.order.pop_first() {
-                self.slots.remove(&oldest);
+        if self.values.len() == self.capacity {
+            if let Some((_, oldest)) = self.by_last_use.pop_first() {
+                self.values.remove(&oldest);
             }
         }
         self.uses += 1;
-        let used = self.uses;
-        self.order.insert(used, key.to_string());
-        self.slots.insert(
-            key.to_string(),
-            Slot {
-                value,
-                fresh_until,
-                expires_at,
-                used,
-            },
-        );
+        self.by_last_use.insert(self.uses, key.to_string());
+        let stored = StoredValue {
+            value,
+            fresh_until_ms: now + fresh_ms,
+            expires_at_ms: now + expire_ms,
+            last_use: self.uses,
+        };
+        self.values.insert(key.to_string(), stored);
     }
 
+    /// Removes a key.
     pub fn remove(&mut self, key: &str) {
-        if let Some(slot) = self.slots.remove(key) {
-            self.order.remove(&slot.used);
+        if let Some(stored) = self.values.remove(key) {
+            self.by_last_use.remove(&stored.last_use);
         }
     }
 
-    pub fn remove_if(&mut self, is_void: impl Fn(&T) -> bool) -> usize {
-        let void: Vec<String> = self
-            .slots
+    /// Removes the values that a condition holds for, and returns how many they were.
+    pub fn remove_if(&mut self, is_invalid: impl Fn(&T) -> bool) -> usize {
+        let invalid: Vec<String> = self
+            .values
             .iter()
-            .filter(|(_, slot)| is_void(&slot.value))
+            .filter(|(_, stored)| is_invalid(&stored.value))
             .map(|(key, _)| key.clone())
             .collect();
-        void.iter().for_each(|key| self.remove(key));
-        void.len()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn times_decide_between_fresh_stale_and_miss() {
-        let cases = [
-            (0, CacheLookup::Fresh(1)),
-            (99, CacheLookup::Fresh(1)),
-            (100, CacheLookup::Stale(1)),
-            (999, CacheLookup::Stale(1)),
-            (1000, CacheLookup::Miss),
-        ];
-        for (now, wanted) in cases {
-            let mut cache = Cache::new(4);
-            cache.insert("k", 1, 100, 1000, 0);
-            assert_eq!(cache.get("k", now).0, wanted, "at {now}");
-        }
-        let mut cache = Cache::new(4);
-        cache.insert("k", 1, 100, 1000, 0);
-        cache.insert("k", 2, 0, 1000, 1);
-        assert_eq!(
-            cache.get("k", 1).0,
-            CacheLookup::Miss,
-            "never fresh is never kept"
-        );
-    }
-
-    proptest::proptest! {
-        #[test]
-        fn the_least_recently_used_go_first(
-            steps in proptest::collection::vec((0u8..12, proptest::bool::ANY), 1..200)
-        ) {
-            let mut cache = Cache::new(4);
-            let mut model: Vec<u8> = Vec::new();
-            for (key, is_put) in steps {
-                let name = key.to_string();
-                let known = model.contains(&key);
-                if is_put || known {
-                    model.retain(|other| *other != key);
-                    model.push(key);
-                    if model.len() > 4 {
-                        model.remove(0);
-                    }
-                }
-                if is_put {
-                    cache.insert(&name, key, 10, 10, 0);
-                } else {
-                    let hit = cache.get(&name, 0).0;
-                    assert_eq!(hit, if known { CacheLookup::Fresh(key) } else { CacheLookup::Miss });
-                }
-                assert_eq!(cache.len(), model.len());
-            }
-        }
+        invalid.iter().for_each(|key| self.remove(key));
+        invalid.len()
     }
 }
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -1,74 +1,34 @@
-//! Where a job goes and how it gets there: electing an engine in a cell, the
-//! controllers that steer toward set points, and a job's state chart.
+//! The decisions of the data plane: which engine serves a request, what a tenant may send,
+//! what may be retried, and what a router knows and may act on.
 //!
-//! No clock, no socket and no task lives here.
+//! Nothing in here has a clock, a socket, a task or a lock. Time is an argument, in
+//! milliseconds of one monotonic clock (`now`); what is to be done is returned.
 
-mod allowance;
 mod cache;
-mod control;
-mod elect;
-mod engines;
-mod estimates;
-mod paces;
-mod pools;
+mod engine;
+mod load;
+mod quota;
+mod rendezvous;
 mod replica_view;
 mod request_state;
+mod retry;
 mod router_membership;
 
-pub use allowance::{RetryBudget, RetryLimit};
-pub use cache::{Cache, CacheLookup};
-pub use control::{RetryTokenBucket, SlowStart, RETRY_TOKEN_LIFETIME_MS};
-pub use elect::{rank, select_engine, Candidate};
-pub use engines::{
-    may_serve, EngineHealthTracker, EngineSelection, ENGINE_LOST_AFTER_MS, HEALTH_REPORT_TIMEOUT_MS,
+pub use cache::{Cache, CacheEntry, CacheLookup};
+pub use engine::{
+    may_serve, select_engine, Candidate, EngineHealthStatus, EngineHealthTracker, EngineListChange,
+    EngineSelection, HealthReport, SelectedEngine, SelectionRequest, SlowStart,
+    ENGINE_LOST_AFTER_MS, HEALTH_REPORT_TIMEOUT_MS, SLOW_START_RESPONSES,
 };
-pub use estimates::{EngineLoadEstimator, LoadUpdate, SelectionRequest};
-pub use paces::{AdmissionDecision, QueueingRateLimiter, TokenAllocator};
-pub use pools::{
-    LeaseRateLimiter, QuotaLeaseAllocator, QuotaTolerance, QUOTA_LEASE_MS, STARTUP_RESERVE_RATIO,
+pub use load::{EngineLoadEstimator, EngineLoadStatus, LoadUpdate, PrefillEstimate, ProbeTarget};
+pub use quota::{
+    AdmissionDecision, LeaseRateLimiter, QueueingRateLimiter, QuotaLeaseAllocator, QuotaTolerance,
+    TokenAllocator, QUOTA_LEASE_MS, STARTUP_RESERVE_RATIO,
 };
-pub use replica_view::{ReplicaUpdate, ReplicaView};
+pub use rendezvous::rank;
+pub use replica_view::{ReplicaUpdate, ReplicaView, ReplicaViewError};
 pub use request_state::{
     ExecutionOutcome, InvalidTransition, RequestEvent, RequestState, RequestStateMachine,
 };
+pub use retry::{RetryBudget, RetryLimit, RetryTokenBucket, RETRY_TOKEN_LIFETIME_MS};
 pub use router_membership::{is_same_to_peers, RouterMembership};
-
-/// What an engine said of itself last, and when it was heard.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct HealthReport {
-    pub running: u32,
-    pub queued: u32,
-    pub slots: u32,
-    pub is_warm: bool,
-    pub is_draining: bool,
-    /// Answers since it came back cold, and how long ago it began, by its own
-    /// clock.
-    pub completed: u32,
-    pub uptime_ms: u64,
-    pub received_at_ms: u64,
-}
-
-impl HealthReport {
-    pub fn slow_start(&self) -> SlowStart {
-        match self.is_warm {
-            true => SlowStart::complete(),
-            false => SlowStart::after_responses(self.completed),
-        }
-    }
-
-    pub fn is_warming_up(&self) -> bool {
-        !self.slow_start().is_complete()
-    }
-}
-
-/// Numbers for tests, drawn from a seed: each below what is asked for.
-#[cfg(test)]
-fn draws(seed: u64) -> impl FnMut(u64) -> u64 {
-    let mut seed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-    move |below| {
-        seed ^= seed << 13;
-        seed ^= seed >> 7;
-        seed ^= seed << 17;
-        (seed >> 11) % below.max(1)
-    }
-}
--- a/placement/src/replica_view.rs
+++ b/placement/src/replica_view.rs
@@ -1,183 +1,137 @@
-//! What a router knows by its session with a directory node, and until when it
-//! may act on it.
+//! The view that a router keeps by its session with a directory node, and until when the
+//! router may act on it.
 
 use protocol::LEASE_MS;
 use residency::{Event, View};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Invariants: the view's epoch only rises, whichever node speaks and however
-/// late; a lease is counted from when its beat was sent, and is taken only
-/// where the view has all that the lease speaks of.
-#[derive(Default)]
-pub struct ReplicaView {
-    view: Arc<View>,
-    /// Beats of this session that no lease has followed, with when they went.
-    sent: BTreeMap<u64, u64>,
-    lease: u64,
+/// A directory node sent something that does not follow from the view. The session must be
+/// closed; another session, with any node, begins with a snapshot and is safe.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+pub enum ReplicaViewError {
+    /// The node is behind what this router knows.
+    #[error("the snapshot has epoch {snapshot_epoch}, epoch {current_epoch} is in force")]
+    StaleSnapshot {
+        /// The snapshot's epoch.
+        snapshot_epoch: u64,
+        /// The view's epoch.
+        current_epoch: u64,
+    },
+    /// A change is missing in between, or was sent twice.
+    #[error("a change builds on epoch {prior_epoch}, epoch {current_epoch} is in force")]
+    Gap {
+        /// The epoch that the change builds on.
+        prior_epoch: u64,
+        /// The view's epoch.
+        current_epoch: u64,
+    },
 }
 
-/// What a frame of the session made of the view.
+/// What a frame of the session changed in the view.
 #[derive(Debug, PartialEq)]
 pub enum ReplicaUpdate {
-    /// Nothing new.
+    /// Nothing.
     Unchanged,
-    /// A whole new view: what it makes void is not known.
+    /// The whole view was replaced; which cached mappings it invalidates is not known.
     Snapshot,
-    /// The events of one entry came in.
+    /// The events of one log entry were applied.
     Events,
 }
 
+/// A router's copy of the replicated state and its lease.
+///
+/// Invariants: the view's epoch only rises, whichever node sends and however late; a lease is
+/// counted from the time at which the heartbeat was sent, and is accepted only if the view
+/// holds everything that was committed when the lease was granted.
+#[derive(Default)]
+pub struct ReplicaView {
+    view: Arc<View>,
+    /// When the heartbeats of this session were sent that no lease has answered, by number.
+    unanswered_heartbeats: BTreeMap<u64, u64>,
+    lease_expires_at_ms: u64,
+}
+
 impl ReplicaView {
+    /// The view that is in force.
     pub fn view(&self) -> &Arc<View> {
         &self.view
     }
 
-    /// Until when new work may be dispatched.
+    /// The time before which new requests may be dispatched.
     pub fn lease_expires_at(&self) -> u64 {
-        self.lease
+        self.lease_expires_at_ms
     }
 
-    /// A new session begins; beats of the one before count no more.
+    /// A new session begins: the heartbeats of the one before renew nothing any more.
     pub fn begin_session(&mut self) {
-        self.sent.clear();
+        self.unanswered_heartbeats.clear();
     }
 
+    /// A heartbeat with this number is sent now.
     pub fn record_heartbeat(&mut self, now: u64, number: u64) {
-        self.sent.insert(number, now);
+        self.unanswered_heartbeats.insert(number, now);
     }
 
-    /// A refusal ends the session.
+    /// Replaces the view.
+    ///
+    /// # Errors
+    /// The snapshot is older than the view.
     pub fn apply_snapshot(
         &mut self,
         epoch: u64,
         events: &[Event],
-    ) -> Result<ReplicaUpdate, String> {
-        let known = self.view.epoch;
-        if epoch < known {
-            return Err(format!(
-                "its picture is of epoch {epoch}, {known} is in force"
-            ));
+    ) -> Result<ReplicaUpdate, ReplicaViewError> {
+        let current_epoch = self.view.epoch;
+        if epoch < current_epoch {
+            return Err(ReplicaViewError::StaleSnapshot {
+                snapshot_epoch: epoch,
+                current_epoch,
+            });
         }
-        let mut view = View::default();
-        events.iter().for_each(|event| view.apply(event));
-        view.epoch = epoch;
-        self.view = Arc::new(view);
-        Ok(if epoch > known {
+        self.replace_view(View::default(), epoch, events);
+        Ok(if epoch > current_epoch {
             ReplicaUpdate::Snapshot
         } else {
             ReplicaUpdate::Unchanged
         })
     }
 
+    /// Applies the events of the log entry `epoch`, which builds on the entry `prior_epoch`.
+    ///
+    /// # Errors
+    /// The view is not the one that the events build on.
     pub fn apply_events(
         &mut self,
-        prior: u64,
+        prior_epoch: u64,
         epoch: u64,
         events: &[Event],
-    ) -> Result<ReplicaUpdate, String> {
-        let known = self.view.epoch;
-        if prior != known {
-            return Err(format!("a change builds on {prior}, {known} is in force"));
+    ) -> Result<ReplicaUpdate, ReplicaViewError> {
+        let current_epoch = self.view.epoch;
+        if prior_epoch != current_epoch {
+            return Err(ReplicaViewError::Gap {
+                prior_epoch,
+                current_epoch,
+            });
         }
-        let mut view = (*self.view).clone();
-        events.iter().for_each(|event| view.apply(event));
-        view.epoch = epoch;
-        self.view = Arc::new(view);
+        self.replace_view((*self.view).clone(), epoch, events);
         Ok(ReplicaUpdate::Events)
     }
 
-    /// Until when the lease in answer to a beat lasts; `None` where the beat is
-    /// not known, or the view lacks something that counted then.
-    pub fn renew_lease(&mut self, number: u64, epoch: u64) -> Option<u64> {
-        let asked = self.sent.remove(&number);
-        self.sent = self.sent.split_off(&number);
-        let until = asked.filter(|_| self.view.epoch >= epoch)? + LEASE_MS;
-        self.lease = self.lease.max(until);
-        Some(until)
+    fn replace_view(&mut self, mut view: View, epoch: u64, events: &[Event]) {
+        events.iter().for_each(|event| view.apply(event));
+        view.epoch = epoch;
+        self.view = Arc::new(view);
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use residency::Name;
-
-    /// Guards: nobody falls back to an older epoch; a change is in force within
-    /// 3 s, since no lease outlives what it did not know. A router goes from
-    /// node to node, each of which is behind by something; frames come late.
-    #[test]
-    fn a_lease_never_covers_what_its_holder_does_not_know() {
-        for seed in 0..400 {
-            let mut draw = crate::draws(seed);
-            // When each epoch counted.
-            let mut counted: Vec<u64> = vec![0];
-            let mut following = ReplicaView::default();
-            let (mut number, mut node, mut said) = (0u64, 0u64, 0u64);
-            let mut leases: Vec<(u64, u64, u64)> = Vec::new();
-            let (mut highest, mut taken, mut stuck) = (0, 0, 0);
-            for now in (10_000..40_000u64).step_by(10) {
-                if draw(40) == 0 {
-                    counted.push(now);
-                }
-                let newest = counted.len() as u64 - 1;
-                if draw(150) == 0 {
-                    // Another node, which may know less: its picture comes first.
-                    following.begin_session();
-                    leases.clear();
-                    node = newest.saturating_sub(draw(6));
-                    said = node;
-                    drop(following.apply_snapshot(node, &[]));
-                }
-                // Some are stuck behind for seconds, and pass leases on.
-                if draw(600) == 0 {
-                    stuck = now + draw(6_000);
-                }
-                if now >= stuck {
-                    node = (node + draw(3)).min(newest).max(node);
-                }
-                if draw(3) == 0 && said < node {
-                    let gone = [Event::ZoneReinstated(Name("z".into()))];
-                    // Sometimes a frame is lost, and the next one does not fit.
-                    said += 1 + u64::from(draw(30) == 0);
-                    if following.apply_events(said - 1, said, &gone).is_err() {
-                        said = node;
-                        drop(following.apply_snapshot(node, &[]));
-                    }
-                }
-                if draw(30) == 0 {
-                    number += 1;
-                    following.record_heartbeat(now, number);
-                    // The leader confirms all that counted when it was asked.
-                    leases.push((now + 1 + draw(900), number, newest));
-                }
-                let due: Vec<_> = leases
-                    .iter()
-                    .filter(|(at, ..)| *at <= now)
-                    .copied()
-                    .collect();
-                leases.retain(|(at, ..)| *at > now);
-                for (_, number, epoch) in due {
-                    taken += usize::from(following.renew_lease(number, epoch).is_some());
-                }
-                let epoch = following.view().epoch;
-                assert!(
-                    epoch >= highest,
-                    "seed {seed}: it fell from {highest} to {epoch}"
-                );
-                highest = epoch;
-                if now < following.lease_expires_at() {
-                    let owed = counted
-                        .iter()
-                        .rposition(|at| at + 3_000 <= now)
-                        .unwrap_or(0);
-                    assert!(
-                        epoch >= owed as u64,
-                        "seed {seed}: {epoch}, {owed} counted 3 s ago"
-                    );
-                }
-            }
-            assert!(taken > 3, "seed {seed}: {taken} leases");
-        }
+    /// Takes the lease that answers a heartbeat and covers all entries up to `epoch`. Returns
+    /// when it expires; `None` if the heartbeat is not known, or the view lacks an entry.
+    pub fn renew_lease(&mut self, heartbeat: u64, epoch: u64) -> Option<u64> {
+        let sent_at_ms = self.unanswered_heartbeats.remove(&heartbeat);
+        // Answers to older heartbeats would expire earlier: they are not needed any more.
+        self.unanswered_heartbeats = self.unanswered_heartbeats.split_off(&heartbeat);
+        let expires_at_ms = sent_at_ms.filter(|_| self.view.epoch >= epoch)? + LEASE_MS;
+        self.lease_expires_at_ms = self.lease_expires_at_ms.max(expires_at_ms);
+        Some(expires_at_ms)
     }
 }
--- a/placement/src/request_state.rs
+++ b/placement/src/request_state.rs
@@ -1,4 +1,5 @@
-//! A request's way through a process, as a state chart.
+//! The state machine of a request in one process: what may be attempted, and what an error
+//! may claim about the request.
 //!
 //! ```text
 //! Received -> Identified -> Resolved -> Selected -> Dispatched -> Responding -> Completed
@@ -13,62 +14,76 @@
 
 use std::fmt;
 
+/// Where a request stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestState {
-    /// The head is here.
+    /// Its head was received.
     Received,
-    /// Tenant and service are known, or known to be unreadable.
+    /// Its tenant and service are known, or known to be unreadable.
     Identified,
-    /// A mapping is here; an engine is to be elected.
+    /// Its mapping is known; an engine is to be selected.
     Resolved,
-    /// An engine is elected; not a byte has gone to it.
+    /// An engine is selected; no byte has been sent.
     Selected,
     /// A byte may have reached an engine.
     Dispatched,
-    /// The request is with a directory node, which has not answered yet.
+    /// It was sent to a directory node, which has not answered yet.
     Forwarded,
-    /// The engine's answer goes out.
+    /// The response is being streamed to the client.
     Responding,
+    /// The response was sent completely.
     Completed,
-    /// Refused before any answer; see `outcome`.
+    /// It was rejected before any response.
     Rejected,
-    /// The answer ended before its end, visibly.
+    /// No response came, or it ended before its end; the client can tell.
     Failed,
-    /// The caller left.
+    /// The client disconnected.
     Cancelled,
 }
 
+/// What happens to a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestEvent {
+    /// Tenant and service were read, or can't be.
     RoutingKeyExtracted,
+    /// The mapping was found.
     MappingResolved,
+    /// An engine was selected.
     EngineSelected,
-    /// No connection came about: provably no byte was written.
+    /// No connection was established: provably no byte was sent.
     ConnectFailed,
-    /// Said before the first byte is handed to the connection.
+    /// Applied before the first byte is passed to the connection.
     SendStarted,
-    /// The connection ended, and not a byte was handed to it.
+    /// The connection ended, and provably no byte was passed to it.
     NothingSent,
     /// The engine said that it did not run the request.
     NotRun,
-    /// The connection broke before the head of an answer.
+    /// The connection broke before the head of a response.
     ResponseLost,
+    /// The request was sent to a directory node.
     Forwarded,
-    /// The directory node said that nothing ran.
+    /// The directory node said that nothing was run.
     ForwardNotRun,
+    /// The head of a response was received.
     ResponseStarted,
+    /// The response ended properly.
     ResponseEnded,
+    /// The response broke off.
     ResponseBroken,
+    /// The request is rejected.
     Reject,
+    /// The client disconnected.
     ClientDisconnected,
 }
 
-/// What a refusal or a break says of the request.
+/// What is known of the execution of a request; errors tell it to the client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ExecutionOutcome {
+    /// It did not run: the client may safely retry.
     NotRun,
+    /// It may have run.
     Unknown,
-    /// The engine answered; its own words say how.
+    /// The engine responded; its response says how it went.
     Ran,
 }
 
@@ -82,39 +97,42 @@
     }
 }
 
-#[derive(Debug, PartialEq)]
+/// An event that must not happen in a state: an invariant of the calling code is broken.
+#[derive(Debug, PartialEq, thiserror::Error)]
+#[error("{event:?} must not follow in state {state:?}")]
 pub struct InvalidTransition {
+    /// The state of the request.
     pub state: RequestState,
+    /// The event that was applied.
     pub event: RequestEvent,
 }
 
-impl fmt::Display for InvalidTransition {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{:?} can't follow in state {:?}", self.event, self.state)
-    }
-}
+/// Engines that one request is sent to at most, where its route does not say.
+const DEFAULT_MAX_ATTEMPTS: u32 = 3;
+/// Engines that could not be reached, after which a request is given up. It bounds the time
+/// of a request while many engines are lost.
+const MAX_FAILED_CONNECTS: u32 = 4;
 
-/// Invariants: a request that is not repeatable is in `Committed` once at most,
-/// unless the engine itself declined it; `may_have_run` falls back to false
-/// only by the word of who had the request; after an answer byte there is no
-/// further round.
+/// The state of one request.
+///
+/// Invariants: a request that is not idempotent is `Dispatched` once at most, unless the
+/// engine itself said that it did not run it, or provably nothing was sent; `may_have_run`
+/// becomes false again only by the word of the process that had the request; after the first
+/// byte of a response there is no further attempt.
 #[derive(Clone, Copy)]
 pub struct RequestStateMachine {
     state: RequestState,
     is_idempotent: bool,
     may_have_run: bool,
+    /// Engines that it was sent to.
     attempts: u32,
     max_attempts: u32,
     /// Engines that could not be reached.
     failed_connects: u32,
 }
 
-/// Engines that one request is sent to, at the most, where its route says nothing.
-const DEFAULT_MAX_ATTEMPTS: u32 = 3;
-/// Engines that can't be reached, for one request.
-const MAX_FAILED_CONNECTS: u32 = 4;
-
 impl RequestStateMachine {
+    /// A request whose head was received.
     pub fn new(is_idempotent: bool) -> RequestStateMachine {
         RequestStateMachine {
             state: RequestState::Received,
@@ -134,18 +152,22 @@
         }
     }
 
+    /// Whether it may be run more than once.
     pub fn is_idempotent(&self) -> bool {
         self.is_idempotent
     }
 
+    /// Where it stands.
     pub fn state(&self) -> RequestState {
         self.state
     }
 
+    /// How many engines it was sent to, the current one included.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
+    /// What may be claimed about its execution now.
     pub fn outcome(&self) -> ExecutionOutcome {
         match self.state {
             RequestState::Responding | RequestState::Completed | RequestState::Failed => {
@@ -159,17 +181,17 @@
         }
     }
 
-    /// Whether one more engine would be allowed by its attempts alone.
+    /// Whether the number of attempts alone would allow one more.
     pub fn has_attempts_left(&self) -> bool {
         self.attempts < self.max_attempts
     }
 
-    /// Whether, from here, one more engine may be tried. `budget` is asked
-    /// only where the round would be a repeat of work.
+    /// Whether one more engine may be tried from here. `budget` is asked only if that would
+    /// be a retry.
     pub fn may_attempt(&self, budget: &mut dyn FnMut() -> bool) -> bool {
-        let is_past =
+        let is_exhausted =
             self.attempts >= self.max_attempts || self.failed_connects >= MAX_FAILED_CONNECTS;
-        if self.state != RequestState::Resolved || is_past {
+        if self.state != RequestState::Resolved || is_exhausted {
             return false;
         }
         if self.may_have_run && !self.is_idempotent {
@@ -178,6 +200,10 @@
         self.attempts == 0 || budget()
     }
 
+    /// Applies an event and returns the new state.
+    ///
+    /// # Errors
+    /// The event must not happen in this state; the state is unchanged.
     pub fn apply(&mut self, event: RequestEvent) -> Result<RequestState, InvalidTransition> {
         use RequestEvent as E;
         use RequestState as S;
@@ -188,7 +214,7 @@
                 self.attempts += 1;
                 S::Selected
             }
-            // Nothing was sent: it was no round.
+            // Nothing was sent: it was no attempt.
             (S::Selected, E::ConnectFailed) => {
                 self.attempts -= 1;
                 self.failed_connects += 1;
@@ -238,195 +264,3 @@
         Ok(next)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use RequestEvent::*;
-
-    /// Guards: nothing non-repeatable runs twice; `not-run` is true.
-    #[test]
-    fn the_chart_case_by_case() {
-        let start = [RoutingKeyExtracted, MappingResolved, EngineSelected];
-        let cases: Vec<(bool, &[RequestEvent], RequestState, ExecutionOutcome)> = vec![
-            (false, &[], RequestState::Selected, ExecutionOutcome::NotRun),
-            (
-                false,
-                &[ConnectFailed],
-                RequestState::Resolved,
-                ExecutionOutcome::NotRun,
-            ),
-            (
-                false,
-                &[ConnectFailed, Reject],
-                RequestState::Rejected,
-                ExecutionOutcome::NotRun,
-            ),
-            (
-                false,
-                &[SendStarted],
-                RequestState::Dispatched,
-                ExecutionOutcome::Unknown,
-            ),
-            (
-                false,
-                &[SendStarted, ResponseLost],
-                RequestState::Failed,
-                ExecutionOutcome::Unknown,
-            ),
-            (
-                false,
-                &[SendStarted, NotRun],
-                RequestState::Resolved,
-                ExecutionOutcome::NotRun,
-            ),
-            (
-                false,
-                &[SendStarted, NothingSent],
-                RequestState::Resolved,
-                ExecutionOutcome::NotRun,
-            ),
-            (
-                false,
-                &[SendStarted, Reject],
-                RequestState::Rejected,
-                ExecutionOutcome::Unknown,
-            ),
-            (
-                false,
-                &[SendStarted, ClientDisconnected],
-                RequestState::Cancelled,
-                ExecutionOutcome::Unknown,
-            ),
-            (
-                true,
-                &[SendStarted, ResponseLost],
-                RequestState::Resolved,
-                ExecutionOutcome::Unknown,
-            ),
-            (
-                true,
-                &[SendStarted, ResponseLost, Reject],
-                RequestState::Rejected,
-                ExecutionOutcome::Unknown,
-            ),
-            (
-                true,
-                &[
-                    SendStarted,
-                    ResponseLost,
-                    EngineSelected,
-                    SendStarted,
-                    NotRun,
-                ],
-                RequestState::Resolved,
-                ExecutionOutcome::Unknown,
-            ),
-            (
-                false,
-                &[SendStarted, ResponseStarted, ResponseEnded],
-                RequestState::Completed,
-                ExecutionOutcome::Ran,
-            ),
-            (
-                false,
-                &[SendStarted, ResponseStarted, ResponseBroken],
-                RequestState::Failed,
-                ExecutionOutcome::Unknown,
-            ),
-        ];
-        for (is_idempotent, events, state, outcome) in cases {
-            let mut request = RequestStateMachine::new(is_idempotent);
-            for event in start.iter().chain(events) {
-                request
-                    .apply(*event)
-                    .expect("every case is a way through the chart");
-            }
-            assert_eq!(
-                (request.state(), request.outcome()),
-                (state, outcome),
-                "{events:?}"
-            );
-        }
-    }
-
-    #[test]
-    fn what_the_chart_forbids() {
-        let cases: Vec<(bool, Vec<RequestEvent>, RequestEvent)> = vec![
-            (false, vec![], SendStarted),
-            (
-                false,
-                vec![RoutingKeyExtracted, MappingResolved],
-                SendStarted,
-            ),
-            (
-                false,
-                vec![
-                    RoutingKeyExtracted,
-                    MappingResolved,
-                    EngineSelected,
-                    SendStarted,
-                ],
-                EngineSelected,
-            ),
-            (
-                true,
-                vec![RoutingKeyExtracted, Forwarded, ResponseStarted],
-                EngineSelected,
-            ),
-            (
-                true,
-                vec![RoutingKeyExtracted, Forwarded, ResponseStarted],
-                Reject,
-            ),
-            (true, vec![RoutingKeyExtracted, Forwarded], MappingResolved),
-            (
-                false,
-                vec![RoutingKeyExtracted, Forwarded, ResponseLost],
-                Forwarded,
-            ),
-            (
-                false,
-                vec![RoutingKeyExtracted, Forwarded, ResponseLost],
-                MappingResolved,
-            ),
-        ];
-        for (is_idempotent, events, forbidden) in cases {
-            let mut request = RequestStateMachine::new(is_idempotent);
-            events.iter().for_each(|event| {
-                request.apply(*event).expect("the way there is allowed");
-            });
-            assert!(
-                request.apply(forbidden).is_err(),
-                "{events:?} then {forbidden:?}"
-            );
-        }
-    }
-
-    proptest::proptest! {
-        /// Whatever happens in whatever order, a request that is not repeatable
-        /// never commits again after a commit that was not declined.
-        #[test]
-        fn once_is_once(picks in proptest::collection::vec(0usize..15, 0..40)) {
-            let all = [
-                RoutingKeyExtracted, MappingResolved, EngineSelected, ConnectFailed, SendStarted, NotRun,
-                NothingSent, ResponseLost, Forwarded, ForwardNotRun, ResponseStarted, ResponseEnded, ResponseBroken,
-                Reject, ClientDisconnected,
-            ];
-            let mut request = RequestStateMachine::new(false);
-            let mut at_large = false;
-            for pick in picks {
-                let Ok(_) = request.apply(all[pick]) else { continue };
-                match all[pick] {
-                    SendStarted | Forwarded => {
-                        assert!(!at_large);
-                        at_large = true;
-                    }
-                    NotRun | NothingSent | ForwardNotRun => at_large = false,
-                    _ => {}
-                }
-                assert!(!at_large || request.outcome() != ExecutionOutcome::NotRun);
-            }
-        }
-    }
-}
--- a/placement/src/router_membership.rs
+++ b/placement/src/router_membership.rs
@@ -1,26 +1,27 @@
-//! Who else is there, as a router knows it by its session: told whole at first,
-//! and from then on by what is new.
+//! Which routers and directory nodes there are, as a session between a directory node and a
+//! router tells it: the whole list first, then what changes.
 
 use consensus::Member;
 use protocol::{RegistryUpdate, RouterStatus};
 use residency::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The same at both ends of a session. Invariant: a directory node takes in what
-/// it has put on its way to the router, and the router takes it in in this order,
-/// so that both have the same.
+/// The membership at one end of a session. Invariant: a directory node applies each update
+/// that it sends, and the router applies them in the same order, so that both ends hold the
+/// same.
 #[derive(Default)]
 pub struct RouterMembership {
-    fronts: BTreeMap<String, RouterStatus>,
-    directories: Vec<Member>,
+    routers: BTreeMap<String, RouterStatus>,
+    directory_nodes: Vec<Member>,
+    /// Whether an update was applied in this session.
     has_begun: bool,
 }
 
-/// Whether a router's report says the same to the other routers. Its age and the
-/// epoch that it has are nothing to them, but for whether it has one.
+/// Whether two reports of a router say the same to the other routers. They depend neither on
+/// the report's age nor on the router's epoch, only on whether it has one.
 pub fn is_same_to_peers(one: &RouterStatus, other: &RouterStatus) -> bool {
-    let said = |front: &RouterStatus| (front.is_draining, front.epoch > 0);
-    said(one) == said(other)
+    let availability = |status: &RouterStatus| (status.is_draining, status.epoch > 0);
+    availability(one) == availability(other)
         && one.peer_address == other.peer_address
         && one.client_address == other.client_address
         && one.zone == other.zone
@@ -28,37 +29,47 @@
 }
 
 impl RouterMembership {
+    /// The routers, by name.
     pub fn routers(&self) -> impl Iterator<Item = &RouterStatus> {
-        self.fronts.values()
+        self.routers.values()
     }
 
+    /// The directory nodes.
     pub fn directory_nodes(&self) -> &[Member] {
-        &self.directories
+        &self.directory_nodes
     }
 
-    /// What is to be said for the other end to have these; it may be nothing.
-    pub fn update_to(&self, fronts: Vec<RouterStatus>, directories: Vec<Member>) -> RegistryUpdate {
-        let names: BTreeSet<&str> = fronts.iter().map(|front| front.name.as_str()).collect();
+    /// The update after which the other end holds these lists; it may change nothing.
+    pub fn update_to(
+        &self,
+        routers: Vec<RouterStatus>,
+        directory_nodes: Vec<Member>,
+    ) -> RegistryUpdate {
+        let names: BTreeSet<&str> = routers.iter().map(|router| router.name.as_str()).collect();
         let gone = self
-            .fronts
+            .routers
             .keys()
             .filter(|name| !names.contains(name.as_str()));
         let gone = gone.map(|name| Name(name.clone())).collect();
-        let is_news = |front: &RouterStatus| {
-            self.fronts
-                .get(&front.name)
-                .is_none_or(|known| !is_same_to_peers(known, front))
+        let is_changed = |router: &RouterStatus| {
+            self.routers
+                .get(&router.name)
+                .is_none_or(|known| !is_same_to_peers(known, router))
         };
-        let is_known = self.has_begun && directories == self.directories;
+        let is_known = self.has_begun && directory_nodes == self.directory_nodes;
         RegistryUpdate {
-            is_full: u8::from(!self.has_begun),
             removed_routers: gone,
-            routers: fronts.into_iter().filter(|front| is_news(front)).collect(),
-            directory_nodes: if is_known { Vec::new() } else { directories },
+            routers: routers.into_iter().filter(is_changed).collect(),
+            directory_nodes: if is_known {
+                Vec::new()
+            } else {
+                directory_nodes
+            },
+            ..self.empty_update()
         }
     }
 
-    /// What is said where nothing came, left or changed.
+    /// The update that changes nothing.
     pub fn empty_update(&self) -> RegistryUpdate {
         RegistryUpdate {
             is_full: u8::from(!self.has_begun),
@@ -68,19 +79,20 @@
         }
     }
 
-    pub fn apply(&mut self, news: &RegistryUpdate) {
-        if news.is_full != 0 {
+    /// Applies an update.
+    pub fn apply(&mut self, update: &RegistryUpdate) {
+        if update.is_full != 0 {
             *self = RouterMembership::default();
         }
         self.has_begun = true;
-        for front in &news.routers {
-            self.fronts.insert(front.name.clone(), front.clone());
+        for router in &update.routers {
+            self.routers.insert(router.name.clone(), router.clone());
         }
-        for name in &news.removed_routers {
-            self.fronts.remove(&name.0);
+        for name in &update.removed_routers {
+            self.routers.remove(&name.0);
         }
-        if !news.directory_nodes.is_empty() {
-            self.directories = news.directory_nodes.clone();
+        if !update.directory_nodes.is_empty() {
+            self.directory_nodes = update.directory_nodes.clone();
         }
     }
 }
--- a/placement/tests/estimates.rs
+++ b/placement/tests/engine_load_estimator.rs
@@ -1,7 +1,11 @@
 //! Electing by answers alone: where a job goes, and what cold engines get.
 
-use placement::{EngineLoadEstimator, EngineSelection, SelectionRequest};
+use placement::{
+    EngineLoadEstimator, EngineSelection, LoadUpdate, PrefillEstimate, SelectedEngine,
+    SelectionRequest,
+};
 use policy::{Prompt, PromptPart};
+use protocol::{CachedPrefix, EngineLoad};
 use residency::{Cell, Engine, EngineState, Event, Mapping, Name, ServiceLimits, View, Zone};
 
 const SERVICE: &str = "writer";
@@ -91,7 +95,7 @@
         tried,
     };
     match estimates.select(now, view, &mapping(), &wanted, 1, &[1]) {
-        EngineSelection::Selected { name, .. } => Some(name),
+        EngineSelection::Selected(SelectedEngine { name, .. }) => Some(name),
         _ => None,
     }
 }
@@ -108,10 +112,13 @@
     estimates.apply_view(1_000, &view);
     let first = chosen(&mut estimates, 1_000, &view, &prompt(7, 1), &[]).expect("all are free");
     assert_ne!(first, "far", "the own region goes first");
-    let (expected, tokens) = estimates.record_send(1_000, &first, &prompt(7, 1));
-    assert!(expected > 50.0 && tokens == 11_000.0);
+    let PrefillEstimate {
+        expected_ms,
+        tokens,
+    } = estimates.record_send(1_000, &first, &prompt(7, 1));
+    assert!(expected_ms > 50.0 && tokens == 11_000.0);
     estimates.finish_prefill(&first, tokens);
-    estimates.record_first_event(1_100, &first, expected, 100);
+    estimates.record_first_event(1_100, &first, expected_ms, 100);
     estimates.release(&first);
     // Again with what it keeps, for as long as it is not busy.
     let second = chosen(&mut estimates, 1_200, &view, &prompt(7, 2), &[]).expect("one is free");
@@ -193,7 +200,7 @@
                     tried: &[],
                 };
                 let chosen = router.select(now, &cold, &mapping(), &wanted, peers[at], known);
-                if matches!(chosen, EngineSelection::Selected { .. }) {
+                if matches!(chosen, EngineSelection::Selected(_)) {
                     router.release("a");
                     begun.push(now);
                 }
@@ -230,6 +237,21 @@
     assert!(chosen(&mut estimates, 12_100, &seen, &job, &[]).is_some());
 }
 
+fn load(engine: &str, requests: u32, prefill_tokens: u32) -> EngineLoad {
+    EngineLoad {
+        engine: engine.into(),
+        requests,
+        prefill_tokens,
+    }
+}
+
+fn cached(engine: &str, prefix_hash: u64) -> CachedPrefix {
+    CachedPrefix {
+        engine: engine.into(),
+        prefix_hash,
+    }
+}
+
 /// What routers tell each other: a job goes past an engine that another router has
 /// filled, and to one that another router has warmed.
 #[test]
@@ -246,12 +268,15 @@
     one.apply_view(1_000, &view);
     two.apply_view(1_000, &view);
     let first = chosen(&mut one, 1_000, &view, &prompt(7, 1), &[]).expect("all are free");
-    let (expected, tokens) = one.record_send(1_000, &first, &prompt(7, 1));
+    let PrefillEstimate {
+        expected_ms,
+        tokens,
+    } = one.record_send(1_000, &first, &prompt(7, 1));
     let news = one.take_load_update(1_010);
-    assert_eq!(news.loads, vec![(first.clone(), 1, 11_000)]);
+    assert_eq!(news.loads, vec![load(&first, 1, 11_000)]);
     assert_eq!(
-        news.kept,
-        vec![(first.clone(), 7)],
+        news.cached_prefixes,
+        vec![cached(&first, 7)],
         "the shared part, not the job's own"
     );
     assert!(one.take_load_update(1_020).is_empty(), "said once");
@@ -266,19 +291,19 @@
         "what has nothing kept there goes past the queue"
     );
     one.finish_prefill(&first, tokens);
-    one.record_first_event(1_100, &first, expected, 100);
+    one.record_first_event(1_100, &first, expected_ms, 100);
     one.release(&first);
     let news = one.take_load_update(1_110);
-    assert_eq!(news.loads, vec![(first.clone(), 0, 0)]);
+    assert_eq!(news.loads, vec![load(&first, 0, 0)]);
     // A part that is kept far away alone is worth the way.
     let mut far = EngineLoadEstimator::default();
     far.apply_view(1_000, &view);
     far.apply_load_update(
         1_000,
         "one",
-        &placement::LoadUpdate {
+        &LoadUpdate {
             loads: vec![],
-            kept: vec![("far".into(), 7)],
+            cached_prefixes: vec![cached("far", 7)],
         },
     );
     assert_eq!(
--- /dev/null
+++ b/placement/tests/request_state.rs
@@ -0,0 +1,190 @@
+//! The state machine of a request.
+
+use placement::{ExecutionOutcome, RequestEvent, RequestState, RequestStateMachine};
+use RequestEvent::*;
+
+/// Guards: nothing non-repeatable runs twice; `not-run` is true.
+#[test]
+fn the_chart_case_by_case() {
+    let start = [RoutingKeyExtracted, MappingResolved, EngineSelected];
+    let cases: Vec<(bool, &[RequestEvent], RequestState, ExecutionOutcome)> = vec![
+        (false, &[], RequestState::Selected, ExecutionOutcome::NotRun),
+        (
+            false,
+            &[ConnectFailed],
+            RequestState::Resolved,
+            ExecutionOutcome::NotRun,
+        ),
+        (
+            false,
+            &[ConnectFailed, Reject],
+            RequestState::Rejected,
+            ExecutionOutcome::NotRun,
+        ),
+        (
+            false,
+            &[SendStarted],
+            RequestState::Dispatched,
+            ExecutionOutcome::Unknown,
+        ),
+        (
+            false,
+            &[SendStarted, ResponseLost],
+            RequestState::Failed,
+            ExecutionOutcome::Unknown,
+        ),
+        (
+            false,
+            &[SendStarted, NotRun],
+            RequestState::Resolved,
+            ExecutionOutcome::NotRun,
+        ),
+        (
+            false,
+            &[SendStarted, NothingSent],
+            RequestState::Resolved,
+            ExecutionOutcome::NotRun,
+        ),
+        (
+            false,
+            &[SendStarted, Reject],
+            RequestState::Rejected,
+            ExecutionOutcome::Unknown,
+        ),
+        (
+            false,
+            &[SendStarted, ClientDisconnected],
+            RequestState::Cancelled,
+            ExecutionOutcome::Unknown,
+        ),
+        (
+            true,
+            &[SendStarted, ResponseLost],
+            RequestState::Resolved,
+            ExecutionOutcome::Unknown,
+        ),
+        (
+            true,
+            &[SendStarted, ResponseLost, Reject],
+            RequestState::Rejected,
+            ExecutionOutcome::Unknown,
+        ),
+        (
+            true,
+            &[
+                SendStarted,
+                ResponseLost,
+                EngineSelected,
+                SendStarted,
+                NotRun,
+            ],
+            RequestState::Resolved,
+            ExecutionOutcome::Unknown,
+        ),
+        (
+            false,
+            &[SendStarted, ResponseStarted, ResponseEnded],
+            RequestState::Completed,
+            ExecutionOutcome::Ran,
+        ),
+        (
+            false,
+            &[SendStarted, ResponseStarted, ResponseBroken],
+            RequestState::Failed,
+            ExecutionOutcome::Unknown,
+        ),
+    ];
+    for (is_idempotent, events, state, outcome) in cases {
+        let mut request = RequestStateMachine::new(is_idempotent);
+        for event in start.iter().chain(events) {
+            request
+                .apply(*event)
+                .expect("every case is a way through the chart");
+        }
+        assert_eq!(
+            (request.state(), request.outcome()),
+            (state, outcome),
+            "{events:?}"
+        );
+    }
+}
+
+#[test]
+fn what_the_chart_forbids() {
+    let cases: Vec<(bool, Vec<RequestEvent>, RequestEvent)> = vec![
+        (false, vec![], SendStarted),
+        (
+            false,
+            vec![RoutingKeyExtracted, MappingResolved],
+            SendStarted,
+        ),
+        (
+            false,
+            vec![
+                RoutingKeyExtracted,
+                MappingResolved,
+                EngineSelected,
+                SendStarted,
+            ],
+            EngineSelected,
+        ),
+        (
+            true,
+            vec![RoutingKeyExtracted, Forwarded, ResponseStarted],
+            EngineSelected,
+        ),
+        (
+            true,
+            vec![RoutingKeyExtracted, Forwarded, ResponseStarted],
+            Reject,
+        ),
+        (true, vec![RoutingKeyExtracted, Forwarded], MappingResolved),
+        (
+            false,
+            vec![RoutingKeyExtracted, Forwarded, ResponseLost],
+            Forwarded,
+        ),
+        (
+            false,
+            vec![RoutingKeyExtracted, Forwarded, ResponseLost],
+            MappingResolved,
+        ),
+    ];
+    for (is_idempotent, events, forbidden) in cases {
+        let mut request = RequestStateMachine::new(is_idempotent);
+        events.iter().for_each(|event| {
+            request.apply(*event).expect("the way there is allowed");
+        });
+        assert!(
+            request.apply(forbidden).is_err(),
+            "{events:?} then {forbidden:?}"
+        );
+    }
+}
+
+proptest::proptest! {
+    /// Whatever happens in whatever order, a request that is not repeatable
+    /// never commits again after a commit that was not declined.
+    #[test]
+    fn once_is_once(picks in proptest::collection::vec(0usize..15, 0..40)) {
+        let all = [
+            RoutingKeyExtracted, MappingResolved, EngineSelected, ConnectFailed, SendStarted, NotRun,
+            NothingSent, ResponseLost, Forwarded, ForwardNotRun, ResponseStarted, ResponseEnded, ResponseBroken,
+            Reject, ClientDisconnected,
+        ];
+        let mut request = RequestStateMachine::new(false);
+        let mut at_large = false;
+        for pick in picks {
+            let Ok(_) = request.apply(all[pick]) else { continue };
+            match all[pick] {
+                SendStarted | Forwarded => {
+                    assert!(!at_large);
+                    at_large = true;
+                }
+                NotRun | NothingSent | ForwardNotRun => at_large = false,
+                _ => {}
+            }
+            assert!(!at_large || request.outcome() != ExecutionOutcome::NotRun);
+        }
+    }
+}
--- /dev/null
+++ b/placement/tests/retry_token_bucket.rs
@@ -0,0 +1,41 @@
+//! Retries over a fleet, against the share of the first attempts.
+
+mod common;
+
+use common::draws;
+use placement::{RetryTokenBucket, RETRY_TOKEN_LIFETIME_MS};
+
+/// Guards: retries grow no further than a fifth of real traffic, over a fleet
+/// and over any short time. Processes come and go, traffic swings, and every
+/// job wants a further round.
+#[test]
+fn further_rounds_stay_below_a_fifth() {
+    let mut draw = draws(1);
+    for _ in 0..12 {
+        let mut fleet: Vec<RetryTokenBucket> =
+            (0..14).map(|_| RetryTokenBucket::default()).collect();
+        let (mut first, mut further) = (Vec::new(), Vec::new());
+        let mut now = 0;
+        while now < 60_000 {
+            now += draw(if now % 20_000 < 4_000 { 5 } else { 400 });
+            let at = draw(14) as usize;
+            if draw(500) == 0 {
+                fleet[at] = RetryTokenBucket::default();
+            }
+            fleet[at].deposit(now, 0.2);
+            first.push(now);
+            if fleet[at].try_withdraw(now) {
+                further.push(now);
+            }
+        }
+        assert!(!further.is_empty());
+        for (n, from) in further.iter().enumerate() {
+            for (more, until) in further[n..].iter().take(120).enumerate() {
+                let earliest = from.saturating_sub(RETRY_TOKEN_LIFETIME_MS);
+                let earned = first.partition_point(|at| at <= until)
+                    - first.partition_point(|at| *at < earliest);
+                assert!((more + 1) * 5 <= earned, "{} for {earned}", more + 1);
+            }
+        }
+    }
+}
--- a/router/src/cache_tiers.rs
+++ b/router/src/cache_tiers.rs
@@ -1,7 +1,7 @@
 //! The two cached layers, and the lookups in flight.
 
 use parking_lot::Mutex;
-use placement::{Cache, CacheLookup};
+use placement::{Cache, CacheEntry, CacheLookup};
 use residency::{Event, InvalidationScope, Mapping};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -81,18 +81,22 @@
     }
 
     pub fn get_local(&self, key: &str) -> CacheLookup<Mapping> {
-        self.own.lock().get(key, now()).0
+        self.own.lock().get(key, now()).lookup
     }
 
     /// This router's share of the region's layer; times are what is left.
     pub fn get_regional(&self, key: &str) -> CacheLookup<Mapping> {
-        let (hit, fresh_ms, expire_ms) = self.share.lock().get(key, now());
+        let CacheEntry {
+            lookup,
+            fresh_ms,
+            expire_ms,
+        } = self.share.lock().get(key, now());
         let left = |mapping| Mapping {
             fresh_ms,
             expire_ms,
             ..mapping
         };
-        match hit {
+        match lookup {
             CacheLookup::Fresh(mapping) => CacheLookup::Fresh(left(mapping)),
             CacheLookup::Stale(mapping) => CacheLookup::Stale(left(mapping)),
             CacheLookup::Miss => CacheLookup::Miss,
--- a/router/src/load_gossip.rs
+++ b/router/src/load_gossip.rs
@@ -21,20 +21,11 @@
 const AGAIN_MS: u64 = 600;
 
 fn frame(from: &str, is_relayed: bool, news: &LoadUpdate) -> Frame {
-    let load = |(engine, jobs, tokens): &(String, u32, u32)| EngineLoad {
-        engine: engine.clone(),
-        requests: *jobs,
-        prefill_tokens: *tokens,
-    };
-    let kept = |(engine, chain): &(String, u64)| CachedPrefix {
-        engine: engine.clone(),
-        prefix_hash: *chain,
-    };
     Frame::LoadGossip {
         from: from.into(),
         is_relayed: is_relayed.into(),
-        loads: news.loads.iter().map(load).collect(),
-        cached_prefixes: news.kept.iter().map(kept).collect(),
+        loads: news.loads.clone(),
+        cached_prefixes: news.cached_prefixes.clone(),
     }
 }
 
@@ -88,14 +79,8 @@
     kept: Vec<CachedPrefix>,
 ) {
     let news = LoadUpdate {
-        loads: loads
-            .into_iter()
-            .map(|load| (load.engine, load.requests, load.prefill_tokens))
-            .collect(),
-        kept: kept
-            .into_iter()
-            .map(|kept| (kept.engine, kept.prefix_hash))
-            .collect(),
+        loads,
+        cached_prefixes: kept,
     };
     router
         .dispatcher
@@ -139,12 +124,16 @@
             );
         }
         for load in news.loads {
-            match for_far.loads.iter_mut().find(|known| known.0 == load.0) {
+            match for_far
+                .loads
+                .iter_mut()
+                .find(|known| known.engine == load.engine)
+            {
                 Some(known) => *known = load,
                 None => for_far.loads.push(load),
             }
         }
-        for_far.kept.extend(news.kept);
+        for_far.cached_prefixes.extend(news.cached_prefixes);
         if !for_far.is_empty() && transport::now() >= told_far + FAR_BATCH_MS {
             tell(
                 &router,
