--- a/directory/src/driver/handle.rs
+++ b/directory/src/driver/handle.rs
@@ -157,7 +157,10 @@
         }
         state
             .resolve(tenant, service, region)
-            .map_err(|(code, text)| ResolveError::NoMapping { code, text })
+            .map_err(|error| ResolveError::NoMapping {
+                code: error.code(),
+                text: error.to_string(),
+            })
     }
 
     /// The last check before a forwarded request is sent to an engine: whether its
--- a/directory/src/driver/start.rs
+++ b/directory/src/driver/start.rs
@@ -50,8 +50,10 @@
 ) -> Result<Arc<ConsensusDriver>, DriverStartError> {
     let identity = settings.local_member.identity;
     let node = Node::new(identity, settings.timing, rand::random(), now(), persisted);
-    let state = State::restore(&node.snapshot().state)
-        .map_err(|text| DriverStartError::Snapshot { text })?;
+    let state =
+        State::restore(&node.snapshot().state).map_err(|error| DriverStartError::Snapshot {
+            text: error.to_string(),
+        })?;
     let (command_sender, commands) = sync_channel(COMMAND_QUEUE_LEN);
     let (disk_sender, batches) = sync_channel(COMMAND_QUEUE_LEN);
     let (view_sender, view) = watch::channel(Arc::new(state.view.clone()));
--- a/directory/src/operator_api/explain.rs
+++ b/directory/src/operator_api/explain.rs
@@ -17,7 +17,10 @@
     let prefix = field("prefix").and_then(|text| text.parse().ok());
     let mapping = control
         .with_state(|state| state.resolve(&tenant, &service, &region))
-        .map_err(|(code, text)| ApiError::NoMapping { code, text })?;
+        .map_err(|error| ApiError::NoMapping {
+            code: error.code(),
+            text: error.to_string(),
+        })?;
     let (engine, why) = select_engine(control, &mapping, prefix.unwrap_or(0));
     let target_utilization = control.view().program.set_points.target_utilization;
     let value = json!({
--- a/directory/src/operator_api/status.rs
+++ b/directory/src/operator_api/status.rs
@@ -135,19 +135,20 @@
 fn moves(state: &State) -> Vec<OwnedValue> {
     state
         .moves()
-        .map(|(key, cell, is_moving)| json!({ "key": key, "cell": cell, "settled": !is_moving }))
+        .map(|moved| json!({ "key": moved.routing_key, "cell": moved.cell, "settled": !moved.is_moving }))
         .collect()
 }
 
 fn windows(state: &State) -> Vec<OwnedValue> {
-    let windows = state.windows().map(|(window, has_begun)| {
+    let windows = state.windows().map(|scheduled| {
+        let window = &scheduled.window;
         let (zone, engine) = match &window.target {
             DrainTarget::Zone(zone) => (Some(zone.0.clone()), None),
             DrainTarget::Engine(engine) => (None, Some(engine.0.clone())),
         };
         json!({
             "id": window.id.0.clone(), "zone": zone, "engine": engine,
-            "from": window.starts_at_s, "until": window.ends_at_s, "begun": has_begun,
+            "from": window.starts_at_s, "until": window.ends_at_s, "begun": scheduled.has_begun,
         })
     });
     windows.collect()
--- a/directory/src/peers/sender_check.rs
+++ b/directory/src/peers/sender_check.rs
@@ -61,7 +61,9 @@
 /// as far as the log: what is in it has to be applied.
 fn check_content(body: &MessageBody) -> Result<(), String> {
     match body {
-        MessageBody::InstallSnapshot { snapshot, .. } => State::restore(&snapshot.state).map(drop),
+        MessageBody::InstallSnapshot { snapshot, .. } => State::restore(&snapshot.state)
+            .map(drop)
+            .map_err(|error| error.to_string()),
         MessageBody::AppendEntries { entries, .. } => {
             entries.iter().try_for_each(|entry| match &entry.payload {
                 EntryPayload::Command(bytes) => from_bytes::<Proposal>(bytes).map(drop),
--- a/directory/tests/recorded_data.rs
+++ b/directory/tests/recorded_data.rs
@@ -179,10 +179,15 @@
     let tenants: Vec<&str> = state.view.tenants.keys().map(String::as_str).collect();
     assert_eq!(tenants, ["ana", "bob", "carl"]);
     let moves: Vec<_> = state.moves().collect();
-    assert_eq!(moves, [("bob/writer", "south-1", false)]);
+    let expected = residency::KeyMove {
+        routing_key: "bob/writer",
+        cell: "south-1",
+        is_moving: false,
+    };
+    assert_eq!(moves, [expected]);
     let windows: Vec<(&str, bool)> = state
         .windows()
-        .map(|(window, has_begun)| (window.id.0.as_str(), has_begun))
+        .map(|scheduled| (scheduled.window.id.0.as_str(), scheduled.has_begun))
         .collect();
     assert_eq!(windows, [("w-1", true), ("w-2", false)]);
     let keys: Vec<&str> = state.view.keys.values().map(String::as_str).collect();
--- a/policy/src/compile.rs
+++ b/policy/src/compile.rs
@@ -13,6 +13,8 @@
     pub text: String,
 }
 
+impl std::error::Error for CompileError {}
+
 impl fmt::Display for CompileError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
--- a/protocol/tests/formats/state.rs
+++ b/protocol/tests/formats/state.rs
@@ -69,7 +69,7 @@
                 drop(state.resolve("ana", "writer", "north"));
                 assert!(State::restore(&state.snapshot()).is_ok());
             }
-            Err(text) => assert!(!text.is_empty()),
+            Err(error) => assert!(!error.to_string().is_empty()),
         }
     }
 
@@ -110,8 +110,8 @@
         if let Ok(text) = std::str::from_utf8(&bytes) {
             match residency::parse_json(text).map(|value| Topology::from_json(&value)) {
                 Ok(Ok(_)) => {}
-                Ok(Err(complaints)) => assert!(complaints.iter().all(|text| !text.is_empty())),
-                Err(text) => assert!(!text.is_empty()),
+                Ok(Err(errors)) => assert!(!errors.0.is_empty() && errors.0.iter().all(|error| !error.to_string().is_empty())),
+                Err(error) => assert!(!error.to_string().is_empty()),
             }
         }
     }
--- a/residency/src/lib.rs
+++ b/residency/src/lib.rs
@@ -1,82 +1,36 @@
-//! The replicated state: home book, routes, tenant keys, engines, evacuations
-//! and moves. It applies one log entry at a time and yields events; the
-//! routers' view is built from the same events.
+//! The replicated state machine of the control plane: topology, tenant keys, engines,
+//! evacuations, moves and maintenance windows.
 //!
-//! No clock, no socket and no task lives here.
+//! [`State`] applies one log entry at a time, a [`Proposal`] that carries a
+//! [`Command`], and returns an [`Outcome`] and the [`Event`]s that it made. A router's
+//! replica, the [`View`], is built from the same events. The package is synchronous:
+//! time is an argument, and no clock, socket or task lives here.
 
 mod command;
-mod fence;
+mod engine;
+mod event;
+mod json;
+mod last_changed;
+mod limits;
+mod mapping;
+mod name;
+mod proposal;
 mod state;
 mod topology;
 mod view;
 
-pub use command::{
-    Command, ConfigDocument, DrainTarget, MaintenanceWindow, Outcome, Proposal, UpdateMode,
+pub use command::{Command, ConfigDocument, DrainTarget, MaintenanceWindow, UpdateMode};
+pub use engine::{Engine, EngineState};
+pub use event::{Cell, Event, InvalidationScope, TenantKey, Zone};
+pub use json::{merge, parse_json, JsonError};
+pub use limits::{RequestLimits, ServiceLimits, TenantLimits};
+pub use mapping::{routing_key, Mapping};
+pub use name::Name;
+pub use proposal::{Outcome, Proposal};
+pub use state::{
+    CommandError, KeyMove, ResolveError, RestoreError, ScheduledWindow, State, RECENT_PROPOSALS,
 };
-pub use state::{State, RECENT_PROPOSALS};
-pub use topology::{merge, parse_json, Service, Tenant, Topology};
-pub use view::{
-    Cell, CellLocation, Engine, EngineState, Event, InvalidationScope, RequestLimits,
-    ServiceLimits, TenantKey, TenantLimits, View, Zone,
+pub use topology::{
+    Expected, Service, Tenant, Topology, TopologyError, TopologyErrorKind, TopologyErrors,
 };
-
-use binrw::binrw;
-use consensus::codec::{read_list, read_string, write_list, write_string};
-
-/// Where the jobs of one key may go, as a directory node resolved it.
-/// Invariants: `cells` all lie in `regions`, the serving one first; `regions`
-/// never holds one outside the tenant's homes.
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq)]
-pub struct Mapping {
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub tenant: String,
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub service: String,
-    #[br(parse_with = read_list)]
-    #[bw(write_with = write_list)]
-    pub regions: Vec<Name>,
-    #[br(parse_with = read_list)]
-    #[bw(write_with = write_list)]
-    pub cells: Vec<Name>,
-    /// Remaining time; 0 stands for never fresh.
-    pub fresh_ms: u64,
-    pub expire_ms: u64,
-    pub epoch: u64,
-}
-
-impl Mapping {
-    pub fn routing_key(&self) -> String {
-        routing_key(&self.tenant, &self.service)
-    }
-}
-
-/// The routing key: what the caches are asked by.
-pub fn routing_key(tenant: &str, service: &str) -> String {
-    format!("{tenant}/{service}")
-}
-
-/// A name on the wire.
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Name(
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub String,
-);
-
-impl From<&str> for Name {
-    fn from(text: &str) -> Name {
-        Name(text.into())
-    }
-}
-
-impl std::fmt::Display for Name {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(&self.0)
-    }
-}
+pub use view::{CellLocation, View};
--- a/residency/src/state.rs
+++ b/residency/src/state.rs
@@ -1,51 +1,32 @@
-//! Applying what was agreed on.
-
+//! The state of the control plane: checking a proposal, and applying it once consensus
+//! has committed it.
+//!
+//! `plan` checks a command and says which events it makes, changing nothing; `commit`
+//! changes what the events do not carry; `maintenance` holds the windows; `resolve`
+//! answers lookups; `snapshot` turns the state into bytes and back.
+
+mod commit;
+mod error;
+mod maintenance;
 mod plan;
+mod recent_proposals;
 mod resolve;
 mod snapshot;
 
-use crate::command::{
-    Command, ConfigDocument, DrainTarget, MaintenanceWindow, Outcome, Proposal, UpdateMode,
-};
-use crate::fence::{LastChanged, Part};
-use crate::{routing_key, Event, Name, Topology, View};
+pub use error::{CommandError, ResolveError, RestoreError};
+pub use maintenance::ScheduledWindow;
+pub use recent_proposals::RECENT_PROPOSALS;
+
+use crate::last_changed::{LastChanged, Subject};
+use crate::{Command, ConfigDocument, Event, Name, Outcome, Proposal, Topology, View};
 use binrw::binrw;
-use consensus::codec::{read_string, to_bytes, write_string};
+use recent_proposals::RecentProposals;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 
-/// How many operators' proposals are remembered, so that a repeat is known as
-/// one. Several days of hundreds of changes; what the nodes submit by themselves
-/// takes no place.
-pub const RECENT_PROPOSALS: usize = 4096;
-
-/// A window as it stands. What was shut before it began stays shut after it.
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq)]
-struct Planned {
-    window: MaintenanceWindow,
-    #[br(map = |n: u8| n != 0)]
-    #[bw(map = |b: &bool| u8::from(*b))]
-    has_begun: bool,
-    #[br(map = |n: u8| n != 0)]
-    #[bw(map = |b: &bool| u8::from(*b))]
-    was_shut: bool,
-}
-
-#[binrw]
-#[brw(big)]
-#[derive(Clone)]
-struct RecentProposal {
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    id: String,
-    sum: u32,
-    epoch: u64,
-}
-
-/// Invariant: a pin's cell is in the topology.
+/// The cell that operators chose for a routing key. Invariant: the cell is in the
+/// topology.
 #[binrw]
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq)]
@@ -57,17 +38,31 @@
     is_moving: bool,
 }
 
-/// Invariants: `book` is what `document` reads as; `view` holds what the
-/// events of all applied entries make; the same entries in the same order give
+/// A routing key whose requests go to a cell of the operators' choice.
+#[derive(Clone, Debug, PartialEq)]
+pub struct KeyMove<'a> {
+    /// The routing key, `TENANT/SERVICE`.
+    pub routing_key: &'a str,
+    /// The cell.
+    pub cell: &'a str,
+    /// Whether the move is under way: the key's mapping is never fresh.
+    pub is_moving: bool,
+}
+
+/// The replicated state. Invariants: `topology` is what `document` reads as; `view` holds
+/// what the events of all applied entries make; the same entries in the same order give
 /// the same state on every node.
 pub struct State {
+    /// The topology file as JSON.
     document: OwnedValue,
+    /// The topology file, read.
     pub topology: Topology,
+    /// What routers know of the state.
     pub view: View,
     pins: BTreeMap<String, Pin>,
-    recent_proposals: VecDeque<RecentProposal>,
+    recent_proposals: RecentProposals,
     last_changed: LastChanged,
-    windows: Vec<Planned>,
+    windows: Vec<ScheduledWindow>,
     config_document: ConfigDocument,
 }
 
@@ -75,11 +70,11 @@
     fn default() -> State {
         let document = OwnedValue::object();
         State {
-            topology: Topology::from_json(&document).expect("an empty book reads"),
+            topology: Topology::from_json(&document).expect("an empty topology file is valid"),
             document,
             view: View::default(),
             pins: BTreeMap::new(),
-            recent_proposals: VecDeque::new(),
+            recent_proposals: RecentProposals::default(),
             last_changed: LastChanged::default(),
             windows: Vec::new(),
             config_document: ConfigDocument::default(),
@@ -87,8 +82,8 @@
     }
 }
 
-/// Whether a repeat of a command must be known as one. What nodes submit by
-/// themselves says nothing twice: a repeat of it is late, or changes nothing.
+/// Whether a duplicate of a command must be recognised. Commands that nodes propose by
+/// themselves need no memory: a duplicate of one is late, or changes nothing.
 fn is_remembered(command: &Command) -> bool {
     !matches!(
         command,
@@ -100,237 +95,89 @@
 }
 
 impl State {
+    /// The index of the log entry that was applied last.
     pub fn epoch(&self) -> u64 {
         self.view.epoch
     }
 
+    /// The topology file in force, as JSON.
     pub fn document(&self) -> String {
         self.document.encode()
     }
 
-    /// Whether a repeat of a proposal, and with what outcome.
-    fn repeat(&self, proposal: &Proposal) -> Option<Outcome> {
-        let known = self
-            .recent_proposals
-            .iter()
-            .find(|known| known.id == proposal.id)?;
-        Some(match known.sum == crc(&proposal.command) {
-            true => Outcome::Duplicate { epoch: known.epoch },
-            false => Outcome::Rejected(format!(
-                "proposal id {} was used for another change, at epoch {}",
-                proposal.id, known.epoch
-            )),
-        })
-    }
-
-    /// Whether a proposal was built on something else than what is in force.
-    fn conflict(&self, proposal: &Proposal) -> Option<Outcome> {
-        let changed = self.last_changed.subject_of(&proposal.command);
-        let is_old = proposal.base_epoch != 0 && proposal.base_epoch < changed;
-        let is_other = match &proposal.command {
-            Command::AdoptDocument {
-                config_document, ..
-            } => config_document.base_revision != self.config_document.revision,
-            _ => false,
-        };
-        (is_old || is_other).then_some(Outcome::Conflict { epoch: changed })
-    }
-
-    /// The newest document that was adopted; its revision is 0 where none was.
+    /// The configuration document in force; its revision is 0 where none was adopted.
     pub fn config_document(&self) -> &ConfigDocument {
         &self.config_document
     }
 
-    /// Whether a proposal of this id was taken.
+    /// Whether a proposal of this id was applied, as far as it is remembered.
     pub fn has_applied(&self, id: &str) -> bool {
-        self.recent_proposals.iter().any(|known| known.id == id)
+        self.recent_proposals.contains(id)
     }
 
-    /// Says what applying a proposal now would give, changing nothing.
+    /// The routing keys that operators moved.
+    pub fn moves(&self) -> impl Iterator<Item = KeyMove<'_>> {
+        self.pins.values().map(|pin| KeyMove {
+            routing_key: &pin.key.0,
+            cell: &pin.cell.0,
+            is_moving: pin.is_moving,
+        })
+    }
+
+    /// What applying a proposal now would give, changing nothing; `None` where it would
+    /// be applied.
     pub fn check(&self, proposal: &Proposal) -> Option<Outcome> {
-        if let Some(outcome) = self.repeat(proposal) {
-            return Some(outcome);
-        }
-        if let Some(conflict) = self.conflict(proposal) {
-            return Some(conflict);
-        }
-        self.plan(&proposal.command).err().map(Outcome::Rejected)
+        self.checked(proposal).err()
     }
 
-    /// Applies a proposal that was agreed on as the log's entry `epoch`.
-    /// Nothing changes unless the outcome is `Applied`.
+    /// Applies a committed proposal, the log's entry `epoch`. Nothing changes unless the
+    /// outcome is `Applied`.
     pub fn apply(&mut self, epoch: u64, proposal: &Proposal) -> (Outcome, Vec<Event>) {
-        if let Some(outcome) = self.repeat(proposal) {
-            return (outcome, Vec::new());
-        }
-        if let Some(conflict) = self.conflict(proposal) {
-            return (conflict, Vec::new());
-        }
-        let events = match self.plan(&proposal.command) {
+        let events = match self.checked(proposal) {
             Ok(events) => events,
-            Err(text) => return (Outcome::Rejected(text), Vec::new()),
+            Err(outcome) => return (outcome, Vec::new()),
         };
-        let pins = self.pins.len();
-        self.commit(&proposal.command);
+        let command = &proposal.command;
+        let pin_count = self.pins.len();
+        self.commit(command);
         for event in &events {
             self.view.apply(event);
         }
         self.view.epoch = epoch;
-        self.last_changed.note(&proposal.command, &events, epoch);
-        if self.pins.len() < pins {
-            // A revision may take pins along.
-            self.last_changed.note_part(Part::Moves, epoch);
+        self.last_changed.record(command, &events, epoch);
+        if self.pins.len() < pin_count {
+            // A topology update removes the pins of tenants and services that it removes.
+            self.last_changed.record_subject(Subject::Moves, epoch);
         }
-        if is_remembered(&proposal.command) {
-            self.remember(proposal, epoch);
+        if is_remembered(command) {
+            let in_force = self.last_changed.of(Subject::Topology);
+            self.recent_proposals.remember(proposal, epoch, in_force);
         }
         (Outcome::Applied { epoch }, events)
     }
 
-    /// Invariant: the proposal that made the document in force is never
-    /// forgotten, however many others came after it.
-    fn remember(&mut self, proposal: &Proposal, epoch: u64) {
-        let sum = crc(&proposal.command);
-        self.recent_proposals.push_back(RecentProposal {
-            id: proposal.id.clone(),
-            sum,
-            epoch,
-        });
-        if self.recent_proposals.len() <= RECENT_PROPOSALS {
-            return;
+    /// The events that a proposal makes, or the outcome by which it changes nothing.
+    fn checked(&self, proposal: &Proposal) -> Result<Vec<Event>, Outcome> {
+        if let Some(outcome) = self.recent_proposals.outcome_of(proposal) {
+            return Err(outcome);
         }
-        let in_force = self.last_changed.part(Part::Topology);
-        if let Some(oldest) = self
-            .recent_proposals
-            .iter()
-            .position(|known| known.epoch != in_force)
-        {
-            self.recent_proposals.remove(oldest);
+        if let Some(conflict) = self.conflict(proposal) {
+            return Err(conflict);
         }
+        self.plan(&proposal.command)
+            .map_err(|error| Outcome::Rejected(error.to_string()))
     }
 
-    /// What is due at a time, in seconds since 1970. Applying it makes it due
-    /// no more, so that each window begins and ends once, whoever leads.
-    pub fn due(&self, now: u64) -> Vec<Command> {
-        let due = |planned: &Planned| {
-            let MaintenanceWindow {
-                id,
-                starts_at_s,
-                ends_at_s,
-                ..
-            } = &planned.window;
-            match planned.has_begun {
-                true if now >= *ends_at_s => Some(Command::EndMaintenance(id.clone())),
-                false if now >= *starts_at_s => Some(Command::BeginMaintenance(id.clone())),
-                _ => None,
-            }
+    /// Whether a proposal was built on another state of its subject than the one in force.
+    fn conflict(&self, proposal: &Proposal) -> Option<Outcome> {
+        let changed = self.last_changed.of_command(&proposal.command);
+        let is_late = proposal.base_epoch != 0 && proposal.base_epoch < changed;
+        let is_on_other_document = match &proposal.command {
+            Command::AdoptDocument {
+                config_document, ..
+            } => config_document.base_revision != self.config_document.revision,
+            _ => false,
         };
-        self.windows.iter().filter_map(due).collect()
+        (is_late || is_on_other_document).then_some(Outcome::Conflict { epoch: changed })
     }
-
-    /// The windows to come and under way, and whether each has begun.
-    pub fn windows(&self) -> impl Iterator<Item = (&MaintenanceWindow, bool)> {
-        self.windows
-            .iter()
-            .map(|planned| (&planned.window, planned.has_begun))
-    }
-
-    /// Makes what `plan` has allowed.
-    fn commit(&mut self, command: &Command) {
-        match command {
-            Command::UpdateTopology { .. } | Command::AdoptDocument { .. } => {
-                let (mode, text) = match command {
-                    Command::UpdateTopology { mode, text } => (*mode, text),
-                    Command::AdoptDocument { text, .. } => (UpdateMode::Replace, text),
-                    _ => unreachable!("matched above"),
-                };
-                if let Command::AdoptDocument {
-                    config_document, ..
-                } = command
-                {
-                    self.config_document = config_document.clone();
-                }
-                let (document, topology) = self
-                    .revised(mode, text)
-                    .expect("a revision is planned before");
-                self.document = document;
-                self.topology = topology;
-                let topology = &self.topology;
-                self.pins.retain(|key, _| {
-                    let pair = key.split_once('/').expect("a key has two parts");
-                    topology.tenants.contains_key(pair.0) && topology.services.contains_key(pair.1)
-                });
-            }
-            // Ordered while a window has it shut: it stays shut when that ends.
-            Command::EvacuateZone(zone) => {
-                let is_its =
-                    |what: &DrainTarget| matches!(what, DrainTarget::Zone(name) if name == zone);
-                let under_way = self.windows.iter_mut().filter(|planned| planned.has_begun);
-                for planned in under_way.filter(|planned| is_its(&planned.window.target)) {
-                    planned.was_shut = true;
-                }
-            }
-            Command::MoveKey {
-                tenant,
-                service,
-                cell,
-            } => {
-                let key = routing_key(&tenant.0, &service.0);
-                let pin = Pin {
-                    key: Name(key.clone()),
-                    cell: cell.clone(),
-                    is_moving: true,
-                };
-                self.pins.insert(key, pin);
-            }
-            Command::CompleteMove { tenant, service } => {
-                if let Some(pin) = self.pins.get_mut(&routing_key(&tenant.0, &service.0)) {
-                    pin.is_moving = false;
-                }
-            }
-            Command::ScheduleMaintenance(windows) => {
-                self.windows.retain(|planned| planned.has_begun);
-                for window in windows {
-                    if !self
-                        .windows
-                        .iter()
-                        .any(|planned| planned.window.id == window.id)
-                    {
-                        let window = window.clone();
-                        self.windows.push(Planned {
-                            window,
-                            has_begun: false,
-                            was_shut: false,
-                        });
-                    }
-                }
-            }
-            Command::BeginMaintenance(id) => {
-                let place = self
-                    .windows
-                    .iter()
-                    .position(|planned| planned.window.id == *id);
-                if let Some(place) = place {
-                    let was_shut = self.is_shut(&self.windows[place].window.target);
-                    self.windows[place].has_begun = true;
-                    self.windows[place].was_shut = was_shut;
-                }
-            }
-            Command::EndMaintenance(id) => self.windows.retain(|planned| planned.window.id != *id),
-            Command::UndoMove { tenant, service } => {
-                self.pins.remove(&routing_key(&tenant.0, &service.0));
-            }
-            _ => {}
-        }
-    }
-
-    pub fn moves(&self) -> impl Iterator<Item = (&str, &str, bool)> {
-        self.pins
-            .values()
-            .map(|pin| (pin.key.0.as_str(), pin.cell.0.as_str(), pin.is_moving))
-    }
-}
-
-fn crc(command: &Command) -> u32 {
-    crc32fast::hash(&to_bytes(command))
 }
--- /dev/null
+++ b/residency/src/state/commit.rs
@@ -0,0 +1,68 @@
+//! Changing what a command's events do not carry.
+
+use super::{Pin, State};
+use crate::{routing_key, Command, Name, UpdateMode};
+
+impl State {
+    /// Makes the changes of a command that `plan` has allowed, apart from its events.
+    pub(super) fn commit(&mut self, command: &Command) {
+        match command {
+            Command::UpdateTopology { mode, text } => self.replace_topology(*mode, text),
+            Command::AdoptDocument {
+                config_document,
+                text,
+            } => {
+                self.config_document = config_document.clone();
+                self.replace_topology(UpdateMode::Replace, text);
+            }
+            Command::EvacuateZone(zone) => self.keep_evacuated(zone),
+            Command::MoveKey {
+                tenant,
+                service,
+                cell,
+            } => self.pin(routing_key(&tenant.0, &service.0), cell),
+            Command::CompleteMove { tenant, service } => {
+                if let Some(pin) = self.pins.get_mut(&routing_key(&tenant.0, &service.0)) {
+                    pin.is_moving = false;
+                }
+            }
+            Command::UndoMove { tenant, service } => {
+                self.pins.remove(&routing_key(&tenant.0, &service.0));
+            }
+            Command::ScheduleMaintenance(windows) => self.schedule(windows),
+            Command::BeginMaintenance(id) => self.begin_window(id),
+            Command::EndMaintenance(id) => self.end_window(id),
+            // Their events carry everything.
+            Command::AddKey(_)
+            | Command::RemoveKey(_)
+            | Command::AddEngine(_)
+            | Command::RemoveEngine(_)
+            | Command::SetEngineState { .. }
+            | Command::UpdateEngines { .. }
+            | Command::ReinstateZone(_)
+            | Command::SetRouterCount(_) => {}
+        }
+    }
+
+    fn replace_topology(&mut self, mode: UpdateMode, text: &str) {
+        let (document, topology) = self
+            .updated_topology(mode, text)
+            .expect("`plan` has allowed this update");
+        self.document = document;
+        self.topology = topology;
+        let topology = &self.topology;
+        self.pins.retain(|key, _| {
+            let (tenant, service) = key.split_once('/').expect("a routing key has two parts");
+            topology.tenants.contains_key(tenant) && topology.services.contains_key(service)
+        });
+    }
+
+    fn pin(&mut self, routing_key: String, cell: &Name) {
+        let pin = Pin {
+            key: Name(routing_key.clone()),
+            cell: cell.clone(),
+            is_moving: true,
+        };
+        self.pins.insert(routing_key, pin);
+    }
+}
--- a/residency/src/state/plan.rs
+++ b/residency/src/state/plan.rs
@@ -1,364 +1,187 @@
-//! Checks a command against the state and says which events it makes.
+//! Checking a command against the state, and saying which events it makes.
 
-use super::State;
-use crate::command::{Command, DrainTarget, UpdateMode};
+mod engines;
+mod topology;
+
+use super::error::{CommandError, Planned};
+use crate::topology::is_digest;
 use crate::{
-    routing_key, topology, view, Engine, EngineState, Event, InvalidationScope, Name,
-    ServiceLimits, TenantKey, TenantLimits, Topology,
+    routing_key, Command, DrainTarget, EngineState, Event, InvalidationScope, MaintenanceWindow,
+    Name, State, TenantKey, UpdateMode,
 };
-use simd_json::prelude::*;
-use simd_json::OwnedValue;
-use std::collections::BTreeSet;
 
-type Checked = Result<Vec<Event>, String>;
+/// The most maintenance windows that a schedule may have.
+const MAX_WINDOWS: usize = 1000;
 
 impl State {
-    pub(super) fn revised(
-        &self,
-        mode: UpdateMode,
-        text: &str,
-    ) -> Result<(OwnedValue, Topology), String> {
-        let part = topology::parse_json(text)?;
-        let mut document = if mode == UpdateMode::Replace {
-            OwnedValue::object()
-        } else {
-            self.document.clone()
-        };
-        topology::merge(&mut document, &part);
-        let topology =
-            Topology::from_json(&document).map_err(|complaints| complaints.join("\n"))?;
-        for engine in self.view.engines.values() {
-            if !topology.cells.contains_key(&engine.cell) {
-                return Err(format!(
-                    "cells: engine {} is listed in cell {}, which would be gone",
-                    engine.name, engine.cell
-                ));
-            }
-        }
-        for pin in self.pins.values() {
-            if !topology.cells.contains_key(&pin.cell.0) {
-                return Err(format!(
-                    "cells: {} is moved to cell {}, which would be gone",
-                    pin.key, pin.cell
-                ));
-            }
-        }
-        for zone in &self.view.evacuated {
-            if !topology.zones.contains_key(zone) {
-                return Err(format!("zones: {zone} is evacuated; give it back first"));
-            }
-        }
-        Ok((document, topology))
-    }
-
-    /// Checks a command and says which events it makes.
-    pub(super) fn plan(&self, command: &Command) -> Checked {
-        let known_pair = |tenant: &Name, service: &Name| {
-            if !self.topology.tenants.contains_key(&tenant.0) {
-                return Err(format!("there is no tenant {tenant}"));
-            }
-            if !self.topology.services.contains_key(&service.0) {
-                return Err(format!("there is no service {service}"));
-            }
-            Ok(routing_key(&tenant.0, &service.0))
-        };
+    /// Checks a command, changing nothing, and says which events it makes.
+    pub(super) fn plan(&self, command: &Command) -> Planned {
         match command {
+            Command::UpdateTopology { mode, text } => self.plan_update(*mode, text),
             Command::AdoptDocument {
                 config_document,
                 text,
-            } => {
-                if config_document.revision <= self.config_document.revision {
-                    return Err(format!(
-                        "revision {} is not above {}, which is in force",
-                        config_document.revision, self.config_document.revision
-                    ));
-                }
-                self.revision_events(UpdateMode::Replace, text)
-            }
-            Command::UpdateTopology { .. } if self.config_document.revision > 0 => Err(format!(
-                "the book is what document {} reads as; send a revision of that",
-                self.config_document.revision
-            )),
-            Command::UpdateTopology { mode, text } => self.revision_events(*mode, text),
-            Command::UpdateEngines { engines, gone } => Ok(self.listed_events(engines, gone)),
-            Command::SetRouterCount(count) => Ok(vec![Event::RouterCount(*count)]),
-            Command::AddKey(key) => {
-                let is_digest = key.digest.len() == 64
-                    && key.digest.bytes().all(|byte| byte.is_ascii_hexdigit());
-                if !is_digest {
-                    return Err("a key is kept as 64 hexadecimal digits".into());
-                }
-                if !self.topology.tenants.contains_key(&key.tenant) {
-                    return Err(format!("there is no tenant {}", key.tenant));
-                }
-                match self.view.keys.get(&key.digest) {
-                    Some(tenant) if *tenant != key.tenant => {
-                        Err(format!("this key belongs to tenant {tenant}"))
-                    }
-                    _ => Ok(vec![Event::KeyAdded(key.clone())]),
-                }
-            }
+            } => self.plan_adoption(config_document.revision, text),
+            Command::AddKey(key) => self.plan_key(key),
             Command::RemoveKey(digest) => match self.view.keys.contains_key(&digest.0) {
                 true => Ok(vec![Event::KeyRemoved(digest.clone())]),
-                false => Err("there is no such key".into()),
-            },
-            Command::AddEngine(engine) => {
-                if !self.topology.cells.contains_key(&engine.cell) {
-                    return Err(format!("there is no cell {}", engine.cell));
-                }
-                if engine.address.parse::<std::net::SocketAddr>().is_err() {
-                    return Err(format!("{} is no address and port", engine.address));
-                }
-                let unknown = engine
-                    .services
-                    .iter()
-                    .find(|name| !self.topology.services.contains_key(&name.0));
-                if let Some(name) = unknown {
-                    return Err(format!("there is no service {name}"));
-                }
-                if engine.services.is_empty() || engine.slots == 0 || engine.slots > 100_000 {
-                    return Err("an engine has a service and 1 to 100000 slots at least".into());
-                }
-                let namesake =
-                    |other: &&Engine| other.address == engine.address && other.name != engine.name;
-                if let Some(other) = self.view.engines.values().find(namesake) {
-                    return Err(format!("engine {} has that address", other.name));
-                }
-                Ok(self.engine_events(&engine.name, Some(engine)))
-            }
-            Command::RemoveEngine(name) => match self.view.engines.contains_key(&name.0) {
-                true => Ok(self.engine_events(&name.0, None)),
-                false => Err(format!("there is no engine {name}")),
+                false => Err(CommandError::UnknownKey),
             },
-            Command::SetEngineState { name, state } => match self.view.engines.get(&name.0) {
-                Some(engine) => {
-                    let engine = Engine {
-                        state: *state,
-                        ..engine.clone()
-                    };
-                    Ok(self.engine_events(&name.0, Some(&engine)))
-                }
-                None => Err(format!("there is no engine {name}")),
-            },
-            Command::EvacuateZone(zone) | Command::ReinstateZone(zone) => {
-                let Some(region) = self.topology.zones.get(&zone.0) else {
-                    return Err(format!("there is no zone {zone}"));
-                };
-                let is_shut = matches!(command, Command::EvacuateZone(_));
-                if self.view.evacuated.contains(&zone.0) == is_shut {
-                    return Ok(Vec::new());
-                }
-                // Routers leave an evacuated zone's engines out by themselves;
-                // what changes is how long a key at home there stays fresh.
-                let touched = Event::Invalidated(InvalidationScope::Home(Name(region.clone())));
-                Ok(match is_shut {
-                    true => vec![Event::ZoneEvacuated(zone.clone()), touched],
-                    false => vec![Event::ZoneReinstated(zone.clone()), touched],
-                })
-            }
+            Command::AddEngine(engine) => self.plan_engine(engine),
+            Command::RemoveEngine(name) => self.plan_engine_removal(name),
+            Command::SetEngineState { name, state } => self.plan_engine_state(name, *state),
+            Command::UpdateEngines { engines, gone } => Ok(self.engine_events(engines, gone)),
+            Command::EvacuateZone(zone) => self.plan_evacuation(zone, true),
+            Command::ReinstateZone(zone) => self.plan_evacuation(zone, false),
             Command::MoveKey {
                 tenant,
                 service,
                 cell,
-            } => {
-                let key = known_pair(tenant, service)?;
-                let Some(region) = self.topology.region_of_cell(&cell.0) else {
-                    return Err(format!("there is no cell {cell}"));
-                };
-                if !self
-                    .permitted(&tenant.0, &service.0, region)
-                    .contains(region)
-                {
-                    return Err(format!(
-                        "cell {cell} in {region} is outside the homes of {key}"
-                    ));
-                }
-                Ok(vec![Event::Invalidated(InvalidationScope::Key(Name(key)))])
-            }
-            Command::ScheduleMaintenance(windows) => {
-                if windows.len() > 1000 {
-                    return Err("at most 1000 windows are kept".into());
-                }
-                for (at, window) in windows.iter().enumerate() {
-                    let is_known = match &window.target {
-                        DrainTarget::Zone(zone) => self.topology.zones.contains_key(&zone.0),
-                        DrainTarget::Engine(name) => self.view.engines.contains_key(&name.0),
-                    };
-                    if !is_known {
-                        return Err(format!(
-                            "window {}: {:?} is not known",
-                            window.id, window.target
-                        ));
-                    }
-                    if window.starts_at_s >= window.ends_at_s {
-                        return Err(format!("window {}: it ends before it begins", window.id));
-                    }
-                    if windows[..at].iter().any(|other| other.id == window.id) {
-                        return Err(format!("window {}: this id stands twice", window.id));
-                    }
-                }
-                Ok(Vec::new())
-            }
-            Command::BeginMaintenance(id) | Command::EndMaintenance(id) => {
-                let is_end = matches!(command, Command::EndMaintenance(_));
-                let planned = self.windows.iter().find(|planned| planned.window.id == *id);
-                match planned {
-                    Some(planned) if planned.has_begun != is_end => {
-                        Err(format!("window {id} has begun already, or not yet"))
-                    }
-                    None => Err(format!("there is no window {id}")),
-                    // An engine that is gone meanwhile needs nothing.
-                    Some(planned) if is_end && planned.was_shut => Ok(Vec::new()),
-                    Some(planned) => Ok(self
-                        .turn(&planned.window.target, !is_end)
-                        .unwrap_or_default()),
-                }
-            }
+            } => self.plan_move(tenant, service, cell),
             Command::CompleteMove { tenant, service } | Command::UndoMove { tenant, service } => {
-                let key = known_pair(tenant, service)?;
-                match self.pins.contains_key(&key) {
-                    true => Ok(vec![Event::Invalidated(InvalidationScope::Key(Name(key)))]),
-                    false => Err(format!("{key} is not moved")),
-                }
+                self.plan_end_of_move(tenant, service)
             }
+            Command::ScheduleMaintenance(windows) => self.plan_schedule(windows),
+            Command::BeginMaintenance(id) => self.plan_window(id, true),
+            Command::EndMaintenance(id) => self.plan_window(id, false),
+            Command::SetRouterCount(count) => Ok(vec![Event::RouterCount(*count)]),
         }
     }
 
-    pub(super) fn engine_events(&self, name: &str, after: Option<&Engine>) -> Vec<Event> {
-        match after {
-            Some(engine) => self.listed_events(std::slice::from_ref(engine), &[]),
-            None => self.listed_events(&[], &[Name(name.into())]),
+    fn plan_update(&self, mode: UpdateMode, text: &str) -> Planned {
+        match self.config_document.revision {
+            0 => self.topology_events(mode, text),
+            revision => Err(CommandError::DocumentInForce { revision }),
         }
     }
 
-    /// Mappings name cells, not engines: they are void only where a cell gains
-    /// its first engine for a service or loses its last. Engines of cells that
-    /// are not in the book, and changes that change nothing, are passed over.
-    pub(super) fn listed_events(&self, engines: &[Engine], gone: &[Name]) -> Vec<Event> {
-        let counts = |engine: &&Engine| engine.state != EngineState::Draining;
-        let pairs = |engines: &mut dyn Iterator<Item = &Engine>| -> BTreeSet<(String, String)> {
-            let mut pairs = BTreeSet::new();
-            for engine in engines.filter(counts) {
-                let pair = |service: &Name| (engine.cell.clone(), service.0.clone());
-                pairs.extend(engine.services.iter().map(pair));
-            }
-            pairs
-        };
-        let is_new = |engine: &&Engine| {
-            self.topology.cells.contains_key(&engine.cell)
-                && self.view.engines.get(&engine.name) != Some(*engine)
-        };
-        let engines: Vec<&Engine> = engines.iter().filter(is_new).collect();
-        let before = pairs(&mut self.view.engines.values());
-        let others = self.view.engines.values().filter(|engine| {
-            !gone.iter().any(|name| name.0 == engine.name)
-                && !engines.iter().any(|new| new.name == engine.name)
-        });
-        let after = pairs(&mut others.chain(engines.iter().copied()));
-        let known = gone
-            .iter()
-            .filter(|name| self.view.engines.contains_key(&name.0));
-        let mut events: Vec<Event> = known.cloned().map(Event::EngineRemoved).collect();
-        events.extend(engines.into_iter().cloned().map(Event::EngineUpdated));
-        if after != before {
-            events.push(Event::Invalidated(InvalidationScope::All));
+    fn plan_adoption(&self, revision: u64, text: &str) -> Planned {
+        let in_force = self.config_document.revision;
+        if revision <= in_force {
+            return Err(CommandError::RevisionNotAbove { revision, in_force });
         }
-        events
+        self.topology_events(UpdateMode::Replace, text)
     }
 
-    /// The events that a revision of the book makes: only of what it changes.
-    pub(super) fn revision_events(&self, mode: UpdateMode, text: &str) -> Checked {
-        let (_, topology) = self.revised(mode, text)?;
-        let mut events = Vec::new();
-        if topology.zones != self.view.zones || topology.cells != self.view.cells {
-            events.push(Event::Topology {
-                zones: view::zones(&topology.zones),
-                cells: view::cells(&topology.cells),
-            });
+    fn plan_key(&self, key: &TenantKey) -> Planned {
+        if !is_digest(&key.digest) {
+            return Err(CommandError::InvalidDigest);
         }
-        for (digest, tenant) in &self.view.keys {
-            let is_dropped =
-                self.topology.keys.contains_key(digest) && !topology.keys.contains_key(digest);
-            if is_dropped || !topology.tenants.contains_key(tenant) {
-                events.push(Event::KeyRemoved(Name(digest.clone())));
-            }
+        if !self.topology.tenants.contains_key(&key.tenant) {
+            return Err(CommandError::UnknownTenant(key.tenant.clone()));
         }
-        for (digest, tenant) in &topology.keys {
-            match self.view.keys.get(digest) {
-                Some(known) if known == tenant => {}
-                Some(known) if !self.topology.keys.contains_key(digest) => {
-                    return Err(format!("tenants.{tenant}: a key belongs to tenant {known}"));
-                }
-                _ => events.push(Event::KeyAdded(TenantKey {
-                    digest: digest.clone(),
-                    tenant: tenant.clone(),
-                })),
+        match self.view.keys.get(&key.digest) {
+            Some(owner) if *owner != key.tenant => {
+                Err(CommandError::KeyOfOtherTenant(owner.clone()))
             }
+            _ => Ok(vec![Event::KeyAdded(key.clone())]),
         }
-        let terms = |(name, tenant): (&String, &topology::Tenant)| TenantLimits {
-            tenant: name.clone(),
-            requests_per_s: tenant.requests_per_s,
-            burst: tenant.burst,
-            homes: tenant.homes.iter().cloned().map(Name).collect(),
-            urgency: tenant.urgency.unwrap_or(u8::MAX),
+    }
+
+    fn plan_evacuation(&self, zone: &Name, is_evacuated: bool) -> Planned {
+        let Some(region) = self.topology.zones.get(&zone.0) else {
+            return Err(CommandError::UnknownZone(zone.clone()));
         };
-        let terms: Vec<TenantLimits> = topology.tenants.iter().map(terms).collect();
-        if !terms.iter().eq(self.view.tenants.values()) {
-            events.push(Event::Tenants(terms));
+        if self.view.evacuated.contains(&zone.0) == is_evacuated {
+            return Ok(Vec::new());
         }
-        let traits = |(name, service): (&String, &topology::Service)| ServiceLimits {
-            service: name.clone(),
-            max_connections: service.max_connections,
-            warm_up_requests_per_s: service.warm_up_requests_per_s,
-            warm_up_ms: service.warm_up_ms,
-        };
-        let traits: Vec<ServiceLimits> = topology.services.iter().map(traits).collect();
-        if !traits.iter().eq(self.view.services.values()) {
-            events.push(Event::Services(traits));
+        // Routers skip the engines of an evacuated zone by themselves; what changes is how
+        // long the mapping of a key at home there stays fresh.
+        let invalidated = Event::Invalidated(InvalidationScope::Home(Name(region.clone())));
+        Ok(match is_evacuated {
+            true => vec![Event::ZoneEvacuated(zone.clone()), invalidated],
+            false => vec![Event::ZoneReinstated(zone.clone()), invalidated],
+        })
+    }
+
+    /// The routing key of a tenant and a service that are in the topology.
+    fn known_routing_key(&self, tenant: &Name, service: &Name) -> Result<String, CommandError> {
+        if !self.topology.tenants.contains_key(&tenant.0) {
+            return Err(CommandError::UnknownTenant(tenant.0.clone()));
         }
-        if topology.limits != self.view.limits {
-            events.push(Event::Limits(topology.limits));
+        if !self.topology.services.contains_key(&service.0) {
+            return Err(CommandError::UnknownService(service.clone()));
         }
-        // The rules last: who sees a route finds what it speaks of.
-        if topology.rules != self.view.rules {
-            events.push(Event::Rules(Name(topology.rules.clone())));
+        Ok(routing_key(&tenant.0, &service.0))
+    }
+
+    fn plan_move(&self, tenant: &Name, service: &Name, cell: &Name) -> Planned {
+        let routing_key = self.known_routing_key(tenant, service)?;
+        let Some(region) = self.topology.region_of_cell(&cell.0) else {
+            return Err(CommandError::UnknownCell(cell.0.clone()));
+        };
+        let permitted = self.permitted_regions(&tenant.0, &service.0, region);
+        if !permitted.contains(region) {
+            return Err(CommandError::CellOutsideHomes {
+                cell: cell.clone(),
+                region: region.clone(),
+                routing_key,
+            });
+        }
+        Ok(vec![Event::Invalidated(InvalidationScope::Key(Name(
+            routing_key,
+        )))])
+    }
+
+    fn plan_end_of_move(&self, tenant: &Name, service: &Name) -> Planned {
+        let routing_key = self.known_routing_key(tenant, service)?;
+        match self.pins.contains_key(&routing_key) {
+            true => Ok(vec![Event::Invalidated(InvalidationScope::Key(Name(
+                routing_key,
+            )))]),
+            false => Err(CommandError::NotMoved(routing_key)),
         }
-        events.extend(
-            self.topology
-                .invalidated_by(&topology)
-                .into_iter()
-                .map(Event::Invalidated),
-        );
-        Ok(events)
     }
 
-    /// Shutting or opening what a window empties.
-    pub(super) fn turn(&self, what: &DrainTarget, is_shut: bool) -> Checked {
-        match (what, is_shut) {
-            (DrainTarget::Zone(zone), true) => self.plan(&Command::EvacuateZone(zone.clone())),
-            (DrainTarget::Zone(zone), false) => self.plan(&Command::ReinstateZone(zone.clone())),
-            (DrainTarget::Engine(name), _) => {
-                let state = if is_shut {
-                    EngineState::Draining
-                } else {
-                    EngineState::Serving
-                };
-                self.plan(&Command::SetEngineState {
-                    name: name.clone(),
-                    state,
-                })
+    fn plan_schedule(&self, windows: &[MaintenanceWindow]) -> Planned {
+        if windows.len() > MAX_WINDOWS {
+            return Err(CommandError::TooManyWindows {
+                found: windows.len(),
+                max: MAX_WINDOWS,
+            });
+        }
+        for (at, window) in windows.iter().enumerate() {
+            let is_known = match &window.target {
+                DrainTarget::Zone(zone) => self.topology.zones.contains_key(&zone.0),
+                DrainTarget::Engine(name) => self.view.engines.contains_key(&name.0),
+            };
+            let id = window.id.clone();
+            if !is_known {
+                let target = window.target.clone();
+                return Err(CommandError::UnknownDrainTarget { id, target });
+            }
+            if window.starts_at_s >= window.ends_at_s {
+                return Err(CommandError::WindowEndsFirst(id));
+            }
+            if windows[..at].iter().any(|other| other.id == id) {
+                return Err(CommandError::DuplicateWindow(id));
             }
         }
+        Ok(Vec::new())
     }
 
-    pub(super) fn is_shut(&self, what: &DrainTarget) -> bool {
-        match what {
-            DrainTarget::Zone(zone) => self.view.evacuated.contains(&zone.0),
-            DrainTarget::Engine(name) => self
-                .view
-                .engines
-                .get(&name.0)
-                .is_some_and(|e| e.state != EngineState::Serving),
+    /// Checks that a window is next to begin or to end, and drains or reinstates its
+    /// target.
+    fn plan_window(&self, id: &Name, is_begin: bool) -> Planned {
+        let scheduled = self
+            .window(id)
+            .ok_or_else(|| CommandError::UnknownWindow(id.clone()))?;
+        if scheduled.has_begun == is_begin {
+            return Err(CommandError::WindowOutOfTurn(id.clone()));
+        }
+        if !is_begin && scheduled.was_drained {
+            return Ok(Vec::new());
         }
+        let change = match (&scheduled.window.target, is_begin) {
+            (DrainTarget::Zone(zone), _) => self.plan_evacuation(zone, is_begin),
+            (DrainTarget::Engine(name), true) => {
+                self.plan_engine_state(name, EngineState::Draining)
+            }
+            (DrainTarget::Engine(name), false) => {
+                self.plan_engine_state(name, EngineState::Serving)
+            }
+        };
+        // A target that left meanwhile needs nothing.
+        Ok(change.unwrap_or_default())
     }
 }
--- a/residency/src/state/snapshot.rs
+++ b/residency/src/state/snapshot.rs
@@ -1,13 +1,14 @@
-//! The whole state as bytes, and back.
+//! Snapshots: the whole state as bytes, and back.
 
-use super::{Pin, Planned, RecentProposal, State};
-use crate::command::ConfigDocument;
-use crate::fence::LastChanged;
-use crate::{topology, Event, Name, Topology, View};
+use super::recent_proposals::RecentProposal;
+use super::{Pin, RestoreError, ScheduledWindow, State};
+use crate::last_changed::LastChanged;
+use crate::{parse_json, ConfigDocument, Event, Name, Topology, View};
 use binrw::binrw;
 use consensus::codec::{from_bytes, read_list, to_bytes, write_list};
 use simd_json::prelude::*;
 
+/// The layout of a snapshot.
 #[binrw]
 #[brw(big)]
 struct StateSnapshot {
@@ -22,14 +23,16 @@
     pins: Vec<Pin>,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
-    known: Vec<RecentProposal>,
+    recent_proposals: Vec<RecentProposal>,
     #[br(parse_with = read_list)]
     #[bw(write_with = write_list)]
-    windows: Vec<Planned>,
+    windows: Vec<ScheduledWindow>,
     config_document: ConfigDocument,
 }
 
 impl State {
+    /// The whole state as bytes. Its size is bounded by the topology file, the engines,
+    /// the keys and [`super::RECENT_PROPOSALS`].
     pub fn snapshot(&self) -> Vec<u8> {
         to_bytes(&StateSnapshot {
             epoch: self.epoch(),
@@ -37,38 +40,35 @@
             document: Name(self.document.encode()),
             view: self.view.snapshot(),
             pins: self.pins.values().cloned().collect(),
-            known: self.recent_proposals.iter().cloned().collect(),
+            recent_proposals: self.recent_proposals.to_list(),
             windows: self.windows.clone(),
             config_document: self.config_document.clone(),
         })
     }
 
-    pub fn restore(bytes: &[u8]) -> Result<State, String> {
+    /// The state that a snapshot was taken of. No bytes at all are the empty state.
+    pub fn restore(bytes: &[u8]) -> Result<State, RestoreError> {
         if bytes.is_empty() {
             return Ok(State::default());
         }
-        let picture: StateSnapshot = from_bytes(bytes)?;
-        let document = topology::parse_json(&picture.document.0)?;
-        let topology =
-            Topology::from_json(&document).map_err(|complaints| complaints.join("; "))?;
+        let snapshot: StateSnapshot = from_bytes(bytes).map_err(RestoreError::Bytes)?;
+        let document = parse_json(&snapshot.document.0)?;
+        let topology = Topology::from_json(&document)?;
         let mut view = View::default();
-        for event in &picture.view {
+        for event in &snapshot.view {
             view.apply(event);
         }
-        view.epoch = picture.epoch;
+        view.epoch = snapshot.epoch;
+        let pins = snapshot.pins.into_iter();
         Ok(State {
             document,
             topology,
             view,
-            pins: picture
-                .pins
-                .into_iter()
-                .map(|pin| (pin.key.0.clone(), pin))
-                .collect(),
-            recent_proposals: picture.known.into(),
-            last_changed: picture.last_changed,
-            windows: picture.windows,
-            config_document: picture.config_document,
+            pins: pins.map(|pin| (pin.key.0.clone(), pin)).collect(),
+            recent_proposals: snapshot.recent_proposals.into(),
+            last_changed: snapshot.last_changed,
+            windows: snapshot.windows,
+            config_document: snapshot.config_document,
         })
     }
 }
--- a/residency/src/view.rs
+++ b/residency/src/view.rs
@@ -1,249 +1,48 @@
-//! What a router knows: a picture of it, then changes.
+//! The replica that routers keep of the state: a snapshot of it, then the events of each
+//! applied log entry.
 
-use binrw::binrw;
-use consensus::codec::{read_list, read_string, write_list, write_string};
+use crate::{
+    Cell, Engine, EngineState, Event, Name, RequestLimits, ServiceLimits, TenantKey, TenantLimits,
+    Zone,
+};
 use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
-#[binrw]
-#[brw(big, repr = u8)]
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum EngineState {
-    /// Announced; gets no work yet.
-    Coming = 0,
-    Serving = 1,
-    /// Finishes what it has; gets nothing more.
-    Draining = 2,
-}
-
-impl std::fmt::Display for EngineState {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(match self {
-            EngineState::Coming => "coming",
-            EngineState::Serving => "serving",
-            EngineState::Draining => "draining",
-        })
-    }
-}
-
-/// An engine as the platform listed it.
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq)]
-pub struct Engine {
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub name: String,
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub address: String,
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub cell: String,
-    #[br(parse_with = read_list)]
-    #[bw(write_with = write_list)]
-    pub services: Vec<crate::Name>,
-    pub slots: u32,
-    pub state: EngineState,
-    /// How long it stays cold from when this was said; 0 stands for warm.
-    pub warm_up_ms: u32,
-}
-
-/// What a caller may send and how long it may take, at the doors.
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RequestLimits {
-    /// Bytes of a request's head.
-    pub max_head_bytes: u64,
-    /// Bytes of a request's body.
-    pub max_body_bytes: u64,
-    pub head_timeout_ms: u64,
-    /// How long a connection may lie idle between two requests.
-    pub idle_timeout_ms: u64,
-}
-
-impl Default for RequestLimits {
-    fn default() -> RequestLimits {
-        RequestLimits {
-            max_head_bytes: 64 << 10,
-            max_body_bytes: 1 << 30,
-            head_timeout_ms: 10_000,
-            idle_timeout_ms: 60_000,
-        }
-    }
-}
-
-/// What holds for all engines of a service.
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq)]
-pub struct ServiceLimits {
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub service: String,
-    pub max_connections: u64,
-    pub warm_up_requests_per_s: u64,
-    pub warm_up_ms: u64,
-}
-
-/// A tenant key, of which only the digest is kept, and whose it is.
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq)]
-pub struct TenantKey {
-    /// SHA-256 in 64 hexadecimal digits.
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub digest: String,
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub tenant: String,
-}
-
-/// A zone and the region that it lies in.
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq)]
-pub struct Zone {
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub name: String,
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub region: String,
-}
-
-/// A cell and the zone that it lies in.
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq)]
-pub struct Cell {
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub name: String,
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub zone: String,
-}
-
-/// Which cached mappings an event makes void.
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq)]
-pub enum InvalidationScope {
-    #[brw(magic = 0u8)]
-    All,
-    #[brw(magic = 1u8)]
-    Tenant(crate::Name),
-    #[brw(magic = 2u8)]
-    Key(crate::Name),
-    /// Mappings whose first region this is.
-    #[brw(magic = 3u8)]
-    Home(crate::Name),
-}
-
-impl InvalidationScope {
-    pub fn covers(&self, mapping: &crate::Mapping) -> bool {
-        match self {
-            InvalidationScope::All => true,
-            InvalidationScope::Tenant(name) => mapping.tenant == name.0,
-            InvalidationScope::Key(name) => mapping.routing_key() == name.0,
-            InvalidationScope::Home(region) => mapping.regions.first() == Some(region),
-        }
-    }
-}
-
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq)]
-pub enum Event {
-    #[brw(magic = 0u8)]
-    Rules(crate::Name),
-    /// Zones with their regions, cells with their zones, in place of what was.
-    #[brw(magic = 1u8)]
-    Topology {
-        #[br(parse_with = read_list)]
-        #[bw(write_with = write_list)]
-        zones: Vec<Zone>,
-        #[br(parse_with = read_list)]
-        #[bw(write_with = write_list)]
-        cells: Vec<Cell>,
-    },
-    /// The digest of a key and its tenant.
-    #[brw(magic = 2u8)]
-    KeyAdded(TenantKey),
-    #[brw(magic = 3u8)]
-    KeyRemoved(crate::Name),
-    #[brw(magic = 4u8)]
-    EngineUpdated(Engine),
-    #[brw(magic = 5u8)]
-    EngineRemoved(crate::Name),
-    #[brw(magic = 6u8)]
-    ZoneEvacuated(crate::Name),
-    #[brw(magic = 7u8)]
-    ZoneReinstated(crate::Name),
-    #[brw(magic = 8u8)]
-    Invalidated(InvalidationScope),
-    /// The terms of all tenants, in place of what was.
-    #[brw(magic = 9u8)]
-    Tenants(
-        #[br(parse_with = read_list)]
-        #[bw(write_with = write_list)]
-        Vec<TenantLimits>,
-    ),
-    /// The traits of all services, in place of what was.
-    #[brw(magic = 10u8)]
-    Services(
-        #[br(parse_with = read_list)]
-        #[bw(write_with = write_list)]
-        Vec<ServiceLimits>,
-    ),
-    #[brw(magic = 11u8)]
-    Limits(RequestLimits),
-    #[brw(magic = 12u8)]
-    RouterCount(u32),
-}
-
-#[binrw]
-#[brw(big)]
-#[derive(Clone, Debug, PartialEq)]
-pub struct TenantLimits {
-    #[br(parse_with = read_string)]
-    #[bw(write_with = write_string)]
-    pub tenant: String,
-    /// Jobs a second; 0 stands for no quota.
-    pub requests_per_s: u64,
-    pub burst: u64,
-    /// Empty stands for any region.
-    #[br(parse_with = read_list)]
-    #[bw(write_with = write_list)]
-    pub homes: Vec<crate::Name>,
-    /// Goes before the route's; 255 stands for none.
-    pub urgency: u8,
-}
-
+/// Where a cell lies.
 pub struct CellLocation {
+    /// The cell's zone.
     pub zone: String,
+    /// The zone's region.
     pub region: String,
 }
 
 /// Invariants: `epoch` only rises; `program` is what `rules` compiles to.
 #[derive(Clone)]
 pub struct View {
+    /// The index of the log entry that was applied last.
     pub epoch: u64,
+    /// The text of the routing rules.
     pub rules: String,
-    pub program: std::sync::Arc<policy::Program>,
+    /// The compiled routing rules.
+    pub program: Arc<policy::Program>,
+    /// Zone to region.
     pub zones: BTreeMap<String, String>,
+    /// Cell to zone.
     pub cells: BTreeMap<String, String>,
-    /// Digest to tenant.
+    /// Digest of a tenant key to tenant.
     pub keys: BTreeMap<String, String>,
+    /// Engines by name.
     pub engines: BTreeMap<String, Engine>,
+    /// The zones that are evacuated.
     pub evacuated: BTreeSet<String>,
+    /// Limits by tenant.
     pub tenants: BTreeMap<String, TenantLimits>,
+    /// Limits by service.
     pub services: BTreeMap<String, ServiceLimits>,
+    /// The limits on requests at the ingress.
     pub limits: RequestLimits,
-    /// How many routers there are, as the leader last wrote it down; 0 stands for
-    /// not known.
+    /// How many routers there are, as the leader last counted them; 0 stands for not
+    /// known.
     pub router_count: u32,
 }
 
@@ -252,7 +51,7 @@
         View {
             epoch: 0,
             rules: String::new(),
-            program: std::sync::Arc::new(policy::compile("").expect("no rules compile")),
+            program: Arc::new(policy::compile("").expect("an empty text compiles")),
             zones: BTreeMap::new(),
             cells: BTreeMap::new(),
             keys: BTreeMap::new(),
@@ -266,25 +65,8 @@
     }
 }
 
-/// Zones with their regions, as an event carries them.
-pub(crate) fn zones(zones: &BTreeMap<String, String>) -> Vec<Zone> {
-    let zone = |(name, region): (&String, &String)| Zone {
-        name: name.clone(),
-        region: region.clone(),
-    };
-    zones.iter().map(zone).collect()
-}
-
-/// Cells with their zones, as an event carries them.
-pub(crate) fn cells(cells: &BTreeMap<String, String>) -> Vec<Cell> {
-    let cell = |(name, zone): (&String, &String)| Cell {
-        name: name.clone(),
-        zone: zone.clone(),
-    };
-    cells.iter().map(cell).collect()
-}
-
 impl View {
+    /// Where a cell lies; `None` where the topology has no such cell.
     pub fn cell(&self, name: &str) -> Option<CellLocation> {
         let zone = self.cells.get(name)?;
         Some(CellLocation {
@@ -293,8 +75,8 @@
         })
     }
 
-    /// Whether an engine may get new work, as far as operators and platform
-    /// have said.
+    /// Whether an engine may get new requests, as far as operators and the platform
+    /// have said: it serves, and its zone is not evacuated.
     pub fn is_open(&self, engine: &Engine) -> bool {
         engine.state == EngineState::Serving
             && self
@@ -303,15 +85,15 @@
                 .is_some_and(|zone| !self.evacuated.contains(zone))
     }
 
-    /// Takes one event. The events of an entry come together; the caller sets
-    /// the epoch when all are in.
+    /// Applies one event. The caller applies all events of a log entry together and
+    /// then sets the epoch.
     pub fn apply(&mut self, event: &Event) {
         match event {
             Event::Rules(text) => {
-                // Rules are compiled before they are proposed and again when
-                // they are applied; what reaches a view compiles.
+                // Directory nodes compile the rules before they apply them, so a text
+                // that fails here comes from another version; the old rules stay.
                 if let Ok(program) = policy::compile(&text.0) {
-                    self.program = std::sync::Arc::new(program);
+                    self.program = Arc::new(program);
                     self.rules = text.0.clone();
                 }
             }
@@ -343,13 +125,13 @@
             Event::Tenants(list) => {
                 self.tenants = list
                     .iter()
-                    .map(|terms| (terms.tenant.clone(), terms.clone()))
+                    .map(|limits| (limits.tenant.clone(), limits.clone()))
                     .collect();
             }
             Event::Services(list) => {
                 self.services = list
                     .iter()
-                    .map(|traits| (traits.service.clone(), traits.clone()))
+                    .map(|limits| (limits.service.clone(), limits.clone()))
                     .collect();
             }
             Event::Limits(limits) => self.limits = *limits,
@@ -357,14 +139,14 @@
         }
     }
 
-    /// Events that make an empty view the same as this one.
+    /// The events that make an empty view the same as this one, apart from the epoch.
     pub fn snapshot(&self) -> Vec<Event> {
-        let name = |text: &String| crate::Name(text.clone());
+        let name = |text: &String| Name(text.clone());
         let mut events = vec![
             Event::Rules(name(&self.rules)),
             Event::Topology {
-                zones: zones(&self.zones),
-                cells: cells(&self.cells),
+                zones: Zone::list(&self.zones),
+                cells: Cell::list(&self.cells),
             },
             Event::Tenants(self.tenants.values().cloned().collect()),
             Event::Services(self.services.values().cloned().collect()),
--- a/residency/tests/state.rs
+++ b/residency/tests/state.rs
@@ -103,9 +103,15 @@
 fn bad_revisions_say_every_fault_and_its_place() {
     let cases: Vec<(&str, Vec<&str>)> = vec![
         ("{", vec!["line 1, column"]),
-        ("[]", vec!["an object should stand here"]),
+        (
+            "[]",
+            vec!["topology file: expected an object, found a list"],
+        ),
         (r#"{"zons":{}}"#, vec!["zons: no such field"]),
-        (r#"{"zones":{"a":{}}}"#, vec!["zones.a.region: a text"]),
+        (
+            r#"{"zones":{"a":{}}}"#,
+            vec!["zones.a.region: expected a text, found nothing"],
+        ),
         (
             r#"{"cells":{"c":{"zone":"nowhere"}}}"#,
             vec!["cells.c.zone: there is no zone nowhere"],
@@ -114,8 +120,8 @@
             r#"{"tenants":{"t":{"homes":["mars"],"pace":-1,"fresh":"soon"}}}"#,
             vec![
                 "tenants.t.homes[0]: no zone",
-                "tenants.t.pace: a whole",
-                "tenants.t.fresh: a time",
+                "tenants.t.pace: expected a whole number from 0 to 1000000, found -1",
+                "tenants.t.fresh: expected a time such as 30s, 5m or 24h, found \"soon\"",
             ],
         ),
         (
@@ -242,7 +248,7 @@
             .state
             .resolve("ben", "tight", "west")
             .expect_err("no common region")
-            .0,
+            .code(),
         "no-place"
     );
 
@@ -252,7 +258,7 @@
             .state
             .resolve("ben", "writer", "south")
             .expect_err("its home is empty")
-            .0,
+            .code(),
         "no-place"
     );
     assert_eq!(
--- a/rushctl/src/main.rs
+++ b/rushctl/src/main.rs
@@ -396,8 +396,8 @@
         "book" => println!("{}", way.get("/book").await?.encode_pp()),
         "check" => {
             let book = book(&words[0], matches.opt_str("rules"))?;
-            if let Err(complaints) = residency::Topology::from_json(&book) {
-                bail!("{}:\n{}", words[0], complaints.join("\n"));
+            if let Err(errors) = residency::Topology::from_json(&book) {
+                bail!("{}:\n{}", words[0], errors);
             }
             println!("{}: nothing is wrong with it", words[0]);
         }
--- a/testbed/src/day.rs
+++ b/testbed/src/day.rs
@@ -112,7 +112,8 @@
 
 fn moment(line: &str) -> Result<Moment, String> {
     // Each line is read by itself; the place within it is its column.
-    let value = residency::parse_json(line).map_err(|text| text.replace("line 1, ", ""))?;
+    let value = residency::parse_json(line)
+        .map_err(|error| format!("column {}: {}", error.column, error.reason))?;
     let object = value.as_object().ok_or("an object should stand here")?;
     let known = [
         "at", "zone", "tenant", "service", "method", "target", "headers", "body", "prompt", "once",
--- a/testbed/src/fleet/mod.rs
+++ b/testbed/src/fleet/mod.rs
@@ -34,8 +34,7 @@
     /// Lays a fleet out, starting nothing.
     pub fn lay(shape: Shape, folder: &Path) -> anyhow::Result<Fleet> {
         let (octet, mark) = free_octet()?;
-        let book =
-            residency::Topology::from_json(&shape.book).map_err(|all| anyhow!(all.join("\n")))?;
+        let book = residency::Topology::from_json(&shape.book)?;
         let mut fleet = Fleet {
             shape,
             folder: folder.to_path_buf(),
--- a/testbed/src/fleet/shape.rs
+++ b/testbed/src/fleet/shape.rs
@@ -44,8 +44,8 @@
             .get("book")
             .ok_or(anyhow!("book: it is missing"))?
             .clone();
-        let read = residency::Topology::from_json(&book)
-            .map_err(|all| anyhow!("book:\n{}", all.join("\n")))?;
+        let read =
+            residency::Topology::from_json(&book).map_err(|errors| anyhow!("book:\n{errors}"))?;
         let (routers, directories) = (counts(&value, "routers")?, counts(&value, "directories")?);
         for zone in routers.keys().chain(directories.keys()) {
             if !read.zones.contains_key(zone) {
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -548,8 +548,7 @@
     journals
         .nodes
         .sort_by_key(|line| line.get("at").and_then(|v| v.as_u64()));
-    let topology = residency::Topology::from_json(&fleet.shape.book)
-        .map_err(|problems| anyhow::anyhow!(problems.join("\n")))?;
+    let topology = residency::Topology::from_json(&fleet.shape.book)?;
     let deployment = Deployment::new(&topology, processes.into_iter());
     let findings = check(&deployment, &journals);
     Ok((journals, findings))
--- a/transport/src/http_server.rs
+++ b/transport/src/http_server.rs
@@ -98,7 +98,7 @@
         Err(_) => return Err("the body took too long".into()),
     };
     let text = String::from_utf8(bytes.to_vec()).map_err(|_| "the body is not UTF-8")?;
-    residency::parse_json(&text)
+    residency::parse_json(&text).map_err(|error| error.to_string())
 }
 
 /// One field of a query, as far as names need it.
