--- a/consensus/src/node/election.rs
+++ b/consensus/src/node/election.rs
@@ -1,162 +1,145 @@
-//! Elections: pre-vote, votes, taking and giving up leadership.
+//! Elections: the election timer, campaigns, leadership won, lost and transferred (Raft
+//! thesis §3.4, §9.6, §3.10).
 
-use super::{Effect, Node, Peer, RequestError, Role, Write};
-use crate::{Entry, EntryPayload, HardState, MessageBody, NodeId};
+use super::{Node, RequestError, Role};
+use crate::{EntryPayload, HardState, MessageBody, NodeId};
 
 impl Node {
+    /// Time went by: heartbeats of a leader, the election timer of any other node.
     pub(super) fn tick(&mut self) {
-        if self.role == Role::Leader {
-            let in_touch =
-                |peer: &Peer| self.now - peer.last_heard < self.timing.election_timeout_ms;
-            let live = self.members.voters.iter().filter(|voter| {
-                voter.identity == self.identity
-                    || self.peers.get(&voter.identity).is_some_and(in_touch)
-            });
-            if live.count() < self.members.majority() || self.is_stalled() {
-                return self.step_down();
-            }
-            if self.now >= self.heartbeat_due {
-                self.repair();
-                self.broadcast();
-            }
-        } else if self.now >= self.election_due {
-            // A pre-vote whose messages were lost is repeated before long: it changes
-            // no terms.
-            self.election_due = self.now
-                + self.timing.election_timeout_ms / 2
-                + self.random(self.timing.election_timeout_ms / 2);
-            self.leader = None;
-            if self.members.is_voter(self.identity) && !self.is_stalled() {
-                self.role = Role::PreCandidate;
-                self.votes = vec![self.identity];
-                let body = MessageBody::PreVote {
-                    last_log_index: self.last_index(),
-                    last_log_term: self.last_term(),
-                };
-                self.send_to_voters(body);
-                self.tally();
-            }
+        if self.election.role == Role::Leader {
+            self.tick_leader();
+        } else if self.now >= self.election.deadline {
+            self.start_pre_vote();
+        }
+    }
+
+    /// A leader that hears no majority, or whose disk is stalled, steps down (Raft thesis
+    /// §6.2); otherwise it begins a heartbeat round when one is due.
+    fn tick_leader(&mut self) {
+        let heard = self
+            .members()
+            .voters
+            .iter()
+            .filter(|voter| voter.identity == self.identity || self.is_heard(voter.identity));
+        if heard.count() < self.members().majority() || self.is_stalled() {
+            return self.step_down();
         }
+        if self.now >= self.replication.heartbeat_deadline {
+            self.repair();
+            self.broadcast();
+        }
+    }
+
+    /// Whether another member was heard within an election timeout.
+    pub(super) fn is_heard(&self, id: NodeId) -> bool {
+        self.replication
+            .get(id)
+            .is_some_and(|progress| progress.silent_ms(self.now) < self.timing.election_timeout_ms)
+    }
+
+    /// Asks whether an election could be won, without a change of term (Raft thesis
+    /// §9.6).
+    fn start_pre_vote(&mut self) {
+        self.election
+            .reset_pre_vote_timer(self.now, self.timing.election_timeout_ms);
+        self.election.leader = None;
+        if !self.members().is_voter(self.identity) || self.is_stalled() {
+            return;
+        }
+        self.election
+            .begin_campaign(Role::PreCandidate, self.identity);
+        self.send_to_voters(MessageBody::PreVote {
+            last_log_index: self.last_index(),
+            last_log_term: self.log.last_term(),
+        });
+        self.check_votes();
     }
 
-    pub(super) fn send_to_voters(&mut self, body: MessageBody) {
-        let voters: Vec<NodeId> = self.members.voters.iter().map(|v| v.identity).collect();
+    fn send_to_voters(&mut self, body: MessageBody) {
+        let voters = self.members().voters.iter();
+        let voters: Vec<NodeId> = voters.map(|voter| voter.identity).collect();
         for voter in voters {
             self.send(voter, body.clone());
         }
     }
 
+    /// Begins an election in a new term (Raft thesis §3.4).
     pub(super) fn campaign(&mut self, is_transfer: bool) {
-        self.role = Role::Candidate;
-        self.leader = None;
-        self.votes = vec![self.identity];
-        self.reset_election_timer();
-        let hard_state = HardState {
-            term: self.hard_state.term + 1,
+        self.election.begin_campaign(Role::Candidate, self.identity);
+        self.election
+            .reset_timer(self.now, self.timing.election_timeout_ms);
+        self.persist_hard_state(HardState {
+            term: self.term() + 1,
             vote: self.identity,
-            ..self.hard_state
-        };
-        self.persist_hard_state(hard_state);
-        let body = MessageBody::RequestVote {
+            ..self.durable.hard_state
+        });
+        self.send_to_voters(MessageBody::RequestVote {
             last_log_index: self.last_index(),
-            last_log_term: self.last_term(),
+            last_log_term: self.log.last_term(),
             is_transfer,
-        };
-        self.send_to_voters(body);
-        self.tally();
+        });
+        self.check_votes();
     }
 
-    pub(super) fn tally(&mut self) {
-        let votes = self
-            .members
-            .voters
-            .iter()
-            .filter(|v| self.votes.contains(&v.identity))
-            .count();
-        if votes < self.members.majority() {
+    /// A voter granted a pre-vote or a vote.
+    pub(super) fn count_vote(&mut self, from: NodeId) {
+        self.election.record_vote(from);
+        self.check_votes();
+    }
+
+    /// Goes on with the campaign if a majority has granted it.
+    pub(super) fn check_votes(&mut self) {
+        if !self.election.has_majority(self.membership.current()) {
             return;
         }
-        match self.role {
+        match self.election.role {
             Role::PreCandidate => self.campaign(false),
-            // Its own vote is valid only once it is synced; a majority of others may
-            // have been quicker, but leading rests on the hard state all the same.
-            Role::Candidate
-                if self.hard_state_ticket <= self.synced_ticket
-                    && !self.has_unsynced_hard_state() =>
-            {
-                self.become_leader()
-            }
+            // Its own vote is valid only once it is synced; a majority of others may have
+            // been quicker, but leading rests on the hard state all the same.
+            Role::Candidate if self.durable.is_hard_state_synced() => self.become_leader(),
             _ => {}
         }
     }
 
-    pub(super) fn has_unsynced_hard_state(&self) -> bool {
-        self.pending
-            .iter()
-            .any(|write| matches!(write, Write::HardState(_)))
-    }
-
-    pub(super) fn become_leader(&mut self) {
-        self.role = Role::Leader;
-        self.leader = Some(self.identity);
-        self.peers.clear();
+    /// Leads from now on: an entry of its own term lets it commit those of earlier terms
+    /// (Raft thesis §3.6.2).
+    fn become_leader(&mut self) {
+        self.election.become_leader(self.identity);
+        self.replication.clear();
         self.reads.clear();
-        let entry = Entry {
-            index: self.last_index() + 1,
-            term: self.hard_state.term,
-            payload: EntryPayload::Noop,
-        };
-        self.append(entry);
+        self.append_new(EntryPayload::Noop);
         self.broadcast();
     }
 
+    /// Becomes a follower without a leader; pending requests are rejected.
     pub(super) fn step_down(&mut self) {
-        if self.role == Role::Leader {
-            for (_, _, token) in std::mem::take(&mut self.reads) {
-                self.effects
-                    .push(Effect::Rejected(token, RequestError::NotLeader));
+        if self.election.role == Role::Leader {
+            for read in self.reads.take_all() {
+                self.reject(read.token, RequestError::NotLeader);
             }
-            for (_, (_, token)) in std::mem::take(&mut self.waiting) {
-                self.effects
-                    .push(Effect::Rejected(token, RequestError::LeadershipLost));
+            for proposal in std::mem::take(&mut self.proposals).into_values() {
+                self.reject(proposal.token, RequestError::LeadershipLost);
             }
         }
-        self.role = Role::Follower;
-        self.leader = None;
-        self.leader_heard_at = None;
-        self.reset_election_timer();
-    }
-
-    pub(super) fn grant(&mut self, from: NodeId) {
-        if !self.votes.contains(&from) {
-            self.votes.push(from);
-        }
-        self.tally();
-    }
-
-    pub(super) fn follow(&mut self, leader: NodeId) {
-        assert!(self.role != Role::Leader, "a term has one leader");
-        self.role = Role::Follower;
-        self.leader = Some(leader);
-        self.leader_heard_at = Some(self.now);
-        self.reset_election_timer();
+        self.election
+            .become_follower(self.now, self.timing.election_timeout_ms);
     }
 
+    /// Asks the voter with the highest match index, of those heard lately, to campaign at
+    /// once (Raft thesis §3.10).
     pub(super) fn transfer_leadership(&mut self) {
-        if self.role != Role::Leader {
+        if self.election.role != Role::Leader {
             return;
         }
-        let now = self.now;
-        let heir = self
-            .members
-            .voters
-            .iter()
-            .filter_map(|voter| Some((voter.identity, self.peers.get(&voter.identity)?)))
-            .filter(|(_, peer)| now - peer.last_heard < self.timing.election_timeout_ms)
-            .max_by_key(|(_, peer)| peer.match_index)
-            .map(|(identity, _)| identity);
-        if let Some(heir) = heir {
-            self.send(heir, MessageBody::TimeoutNow);
+        let voters = self.members().voters.iter();
+        let successor = voters
+            .filter(|voter| self.is_heard(voter.identity))
+            .filter_map(|voter| Some((voter.identity, self.replication.get(voter.identity)?)))
+            .max_by_key(|(_, progress)| progress.match_index)
+            .map(|(id, _)| id);
+        if let Some(successor) = successor {
+            self.send(successor, MessageBody::TimeoutNow);
         }
     }
 }
--- a/consensus/src/node/receive.rs
+++ b/consensus/src/node/receive.rs
@@ -1,111 +1,100 @@
-//! Messages from other nodes: which are accepted, and how terms advance by them.
+//! Messages from other nodes: which are accepted, how terms advance by them, and votes
+//! (Raft thesis, figure 3.1, rules for servers).
 
 use super::{Node, Role};
-use crate::{HardState, Message, MessageBody};
+use crate::{ClusterId, HardState, LogIndex, Message, MessageBody, NodeId, Term};
 
 impl Node {
+    /// Takes one message from another node.
     pub(super) fn receive(&mut self, message: Message) {
-        let Message {
-            from,
-            to,
-            cluster,
-            term,
-            body,
-        } = message;
-        // A blank node follows whichever cluster admitted it, and no other.
-        let is_leading = matches!(
-            body,
-            MessageBody::AppendEntries { .. } | MessageBody::InstallSnapshot { .. }
-        );
-        let is_joining = self.hard_state.cluster == 0 && is_leading && cluster != 0;
-        if to != self.identity || (cluster != self.hard_state.cluster && !is_joining) {
+        // A blank node joins whichever cluster's leader admitted it, and no other.
+        let is_joining =
+            self.cluster() == 0 && is_from_leader(&message.body) && message.cluster != 0;
+        let is_same_cluster = message.cluster == self.cluster();
+        if message.to != self.identity || !(is_same_cluster || is_joining) {
             return;
         }
-        let is_steady = self
-            .leader_heard_at
-            .is_some_and(|at| self.now - at < self.timing.election_timeout_ms)
-            || self.role == Role::Leader;
-        match body {
+        let (from, term) = (message.from, message.term);
+        let has_live_leader = self
+            .election
+            .has_live_leader(self.now, self.timing.election_timeout_ms);
+        match message.body {
             MessageBody::PreVote {
                 last_log_index,
                 last_log_term,
             } => {
-                let granted = term >= self.hard_state.term
-                    && !is_steady
-                    && (last_log_term, last_log_index) >= (self.last_term(), self.last_index());
+                let granted = term >= self.term()
+                    && !has_live_leader
+                    && self.log.is_up_to_date(last_log_term, last_log_index);
                 return self.send(from, MessageBody::PreVoteResponse { granted });
             }
+            // A candidate that misses the leader alone does not disturb the others (Raft
+            // thesis §4.2.3).
             MessageBody::RequestVote {
                 is_transfer: false, ..
-            } if is_steady => return,
+            } if has_live_leader => return,
             _ => {}
         }
-        if term > self.hard_state.term || is_joining {
-            // A refused pre-vote from a later term advances the term, too.
-            let is_pre_vote_grant = matches!(body, MessageBody::PreVoteResponse { granted: true });
-            if !is_pre_vote_grant {
-                if self.role != Role::Follower {
-                    self.step_down();
-                }
-                self.leader = None;
-                let term = term.max(self.hard_state.term);
-                self.persist_hard_state(HardState {
-                    term,
-                    vote: 0,
-                    cluster,
-                });
-            }
+        // A pre-vote is granted in the term that the election would have, which a grant
+        // must not advance; a refusal from a later term does.
+        let is_pre_vote_grant =
+            matches!(message.body, MessageBody::PreVoteResponse { granted: true });
+        if (term > self.term() || is_joining) && !is_pre_vote_grant {
+            self.adopt_term(term, message.cluster);
         }
-        if term < self.hard_state.term {
-            // A pre-candidate's term may be ahead of its voters', by an election whose
-            // messages were lost: a grant is valid all the same.
-            if matches!(body, MessageBody::PreVoteResponse { granted: true })
-                && self.role == Role::PreCandidate
-            {
-                return self.grant(from);
-            }
-            // The stale sender learns of the newer term from any answer.
-            if is_leading {
-                let body = MessageBody::AppendEntriesResponse {
-                    is_match: false,
-                    match_index: self.last_index(),
-                    round: 0,
-                };
-                self.send(from, body);
-            }
-            return;
+        if term < self.term() {
+            self.handle_stale(from, &message.body);
+        } else {
+            self.handle(from, message.body);
+        }
+    }
+
+    /// Follows in a later term, or in the cluster that this node joins (Raft thesis §3.3).
+    fn adopt_term(&mut self, term: Term, cluster: ClusterId) {
+        if self.election.role != Role::Follower {
+            self.step_down();
+        }
+        self.election.leader = None;
+        let term = term.max(self.term());
+        self.persist_hard_state(HardState {
+            term,
+            vote: 0,
+            cluster,
+        });
+    }
+
+    /// A message of an earlier term: a leader that is behind learns of the newer term by
+    /// any answer.
+    fn handle_stale(&mut self, from: NodeId, body: &MessageBody) {
+        // A pre-candidate's term may be ahead of its voters', by an election whose
+        // messages were lost: a grant is valid all the same.
+        let is_pre_vote_grant = matches!(body, MessageBody::PreVoteResponse { granted: true });
+        if is_pre_vote_grant && self.election.role == Role::PreCandidate {
+            return self.count_vote(from);
+        }
+        if is_from_leader(body) {
+            self.respond(from, false, self.last_index(), 0);
         }
+    }
+
+    /// A message of the current term.
+    fn handle(&mut self, from: NodeId, body: MessageBody) {
         match body {
+            // Answered before the terms were compared.
             MessageBody::PreVote { .. } => {}
             MessageBody::PreVoteResponse { granted } => {
-                if granted && self.role == Role::PreCandidate {
-                    self.grant(from);
+                if granted && self.election.role == Role::PreCandidate {
+                    self.count_vote(from);
                 }
             }
             MessageBody::RequestVote {
                 last_log_index,
                 last_log_term,
                 ..
-            } => {
-                let is_free = self.hard_state.vote == 0 || self.hard_state.vote == from;
-                let is_behind =
-                    (last_log_term, last_log_index) < (self.last_term(), self.last_index());
-                let granted = is_free && !is_behind && !self.is_stalled();
-                if granted {
-                    if self.hard_state.vote == 0 {
-                        let hard_state = HardState {
-                            vote: from,
-                            ..self.hard_state
-                        };
-                        self.persist_hard_state(hard_state);
-                    }
-                    self.reset_election_timer();
-                }
-                self.send(from, MessageBody::RequestVoteResponse { granted });
-            }
+            } => self.handle_request_vote(from, last_log_index, last_log_term),
             MessageBody::RequestVoteResponse { granted } => {
-                if granted && self.role == Role::Candidate {
-                    self.grant(from);
+                if granted && self.election.role == Role::Candidate {
+                    self.count_vote(from);
                 }
             }
             MessageBody::AppendEntries {
@@ -127,22 +116,55 @@
             }
             MessageBody::InstallSnapshot { round, snapshot } => {
                 self.follow(from);
-                self.install(from, round, snapshot);
+                self.install_snapshot(from, round, snapshot);
             }
             MessageBody::AppendEntriesResponse {
                 is_match,
                 match_index,
                 round,
             } => {
-                if self.role == Role::Leader {
-                    self.on_answer(from, is_match, match_index, round);
+                if self.election.role == Role::Leader {
+                    self.handle_append_response(from, is_match, match_index, round);
                 }
             }
             MessageBody::TimeoutNow => {
-                if self.members.is_voter(self.identity) && !self.is_stalled() {
+                if self.members().is_voter(self.identity) && !self.is_stalled() {
                     self.campaign(true);
                 }
             }
         }
     }
+
+    /// Grants a vote: one in a term, and only to a candidate whose log is at least as
+    /// up-to-date (Raft thesis §3.4, §3.6.1).
+    fn handle_request_vote(&mut self, from: NodeId, last_log_index: LogIndex, last_log_term: Term) {
+        let vote = self.durable.hard_state.vote;
+        let granted = (vote == 0 || vote == from)
+            && self.log.is_up_to_date(last_log_term, last_log_index)
+            && !self.is_stalled();
+        if granted {
+            if vote == 0 {
+                self.persist_hard_state(HardState {
+                    vote: from,
+                    ..self.durable.hard_state
+                });
+            }
+            self.election
+                .reset_timer(self.now, self.timing.election_timeout_ms);
+        }
+        self.send(from, MessageBody::RequestVoteResponse { granted });
+    }
+
+    fn follow(&mut self, leader: NodeId) {
+        self.election
+            .follow(leader, self.now, self.timing.election_timeout_ms);
+    }
+}
+
+/// Whether only a leader sends this.
+fn is_from_leader(body: &MessageBody) -> bool {
+    matches!(
+        body,
+        MessageBody::AppendEntries { .. } | MessageBody::InstallSnapshot { .. }
+    )
 }
--- a/consensus/src/node/snapshot.rs
+++ b/consensus/src/node/snapshot.rs
@@ -1,77 +1,58 @@
-//! Snapshots: taking one of the applied state, installing one from the leader.
+//! Snapshots: taking one of the applied state, installing one from the leader (Raft
+//! thesis §5.1).
 
-use super::replication::command_bytes;
 use super::{Effect, Node, SnapshotPolicy, Write};
-use crate::{LogIndex, MessageBody, NodeId, Snapshot};
+use crate::{LogIndex, NodeId, Snapshot};
 
 impl Node {
-    /// Whether so much was applied since the last snapshot that one is to be taken.
+    /// Whether enough was applied since the last snapshot that the driver should take one
+    /// (Raft thesis §5.1.3).
     pub fn is_snapshot_due(&self, policy: SnapshotPolicy) -> bool {
-        let entries = self.applied - self.snapshot.index;
-        entries >= policy.entries || (entries > 0 && self.applied_bytes >= policy.bytes)
+        self.log.is_snapshot_due(policy)
     }
 
-    pub(super) fn install(&mut self, from: NodeId, round: u64, snapshot: Snapshot) {
-        if snapshot.index <= self.commit {
-            // It says nothing new.
-        } else if self.term_at(snapshot.index) == Some(snapshot.term) {
-            // The log leads to the snapshot, and what comes after it may have been
-            // answered for: it stays.
-            self.commit = snapshot.index;
+    /// Takes a snapshot from the leader (Raft thesis, figure 5.3).
+    pub(super) fn install_snapshot(&mut self, from: NodeId, round: u64, snapshot: Snapshot) {
+        if snapshot.index <= self.log.commit_index {
+            // Everything in it is committed here already.
+        } else if self.log.term_at(snapshot.index) == Some(snapshot.term) {
+            // The log contains the snapshot's last entry; what follows it may have been
+            // acknowledged, and stays.
+            self.log.commit_index = snapshot.index;
         } else {
-            self.log.clear();
-            self.members = snapshot.members.clone();
-            self.membership_history = vec![(snapshot.index, snapshot.members.clone())];
-            self.commit = snapshot.index;
-            self.applied = snapshot.index;
-            // A snapshot that was taken here may not be on the disk yet, either.
-            self.synced = self.synced.min(self.snapshot.index);
-            self.applied_bytes = 0;
-            for (_, last, _) in &mut self.writing {
-                *last = (*last).min(self.synced);
-            }
-            self.snapshot = snapshot.clone();
-            self.pending.push(Write::InstallSnapshot(snapshot.clone()));
-            self.effects.push(Effect::Restore(snapshot));
+            self.replace_log(snapshot);
         }
-        let match_index = self.synced.min(self.commit);
-        self.send(
-            from,
-            MessageBody::AppendEntriesResponse {
-                is_match: true,
-                match_index,
-                round,
-            },
-        );
+        let match_index = self.durable.synced_index.min(self.log.commit_index);
+        self.respond(from, true, match_index, round);
     }
 
+    fn replace_log(&mut self, snapshot: Snapshot) {
+        // A snapshot that was taken here may not be on disk yet, either.
+        self.durable.limit_synced_index(self.log.snapshot.index);
+        self.membership = super::MembershipState::new(snapshot.index, snapshot.members.clone());
+        self.log.restore(snapshot.clone());
+        self.durable.push(Write::InstallSnapshot(snapshot.clone()));
+        self.effects.push(Effect::Restore(snapshot));
+    }
+
+    /// Takes the state machine's snapshot as of an applied index, and discards the entries
+    /// that it covers.
     pub(super) fn take_snapshot(&mut self, index: LogIndex, state: Vec<u8>) {
-        if index <= self.snapshot.index || index > self.applied {
+        if index <= self.log.snapshot.index || index > self.log.applied_index {
             return;
         }
         let term = self
+            .log
             .term_at(index)
-            .expect("what is applied and past the snapshot is in the log");
-        let members = self
-            .membership_history
-            .iter()
-            .rev()
-            .find(|(at, _)| *at <= index)
-            .map(|(_, members)| members.clone())
-            .expect("a membership stands at the snapshot or before it");
-        self.membership_history.retain(|(at, _)| *at > index);
-        self.membership_history.insert(0, (index, members.clone()));
-        while let Some(entry) = self.log.front().filter(|entry| entry.index <= index) {
-            self.applied_bytes -= command_bytes(entry);
-            self.log.pop_front();
-        }
-        self.snapshot = Snapshot {
+            .expect("an applied entry past the snapshot is in the log");
+        let snapshot = Snapshot {
             index,
             term,
-            cluster: self.hard_state.cluster,
-            members,
+            cluster: self.cluster(),
+            members: self.membership.compact(index),
             state,
         };
-        self.pending.push(Write::Snapshot(self.snapshot.clone()));
+        self.log.compact(snapshot.clone());
+        self.durable.push(Write::Snapshot(snapshot));
     }
 }
