--- a/testbed/src/bin/engine.rs
+++ b/testbed/src/bin/engine.rs
@@ -24,7 +24,7 @@
         "A stand-in engine, for tests and trials.",
         SETTINGS,
     );
-    let settings = testbed::engine::Settings {
+    let settings = testbed::simulated_engine::Settings {
         name: reader.name("name"),
         address: reader.address("address"),
         slots: reader.count("slots", 1, 10_000) as u32,
@@ -41,7 +41,7 @@
             .enable_all()
             .build()?;
         runtime.block_on(async {
-            let server = testbed::engine::serve(settings)?;
+            let server = testbed::simulated_engine::serve(settings)?;
             server.await.map_err(|text| anyhow::anyhow!(text))
         })
     };
--- a/testbed/src/bin/fleet.rs
+++ b/testbed/src/bin/fleet.rs
@@ -4,7 +4,7 @@
 use settings::{setting, Setting, SettingsReader};
 use std::convert::Infallible;
 use std::path::{Path, PathBuf};
-use testbed::fleet::{Fleet, Shape};
+use testbed::fleet::{DeploymentSpec, Fleet};
 
 const SETTINGS: &[Setting] = &[
     setting("shape", "FILE", "the deployment's shape", None),
@@ -16,12 +16,12 @@
     let (shape, folder) = (reader.text("shape"), PathBuf::from(reader.text("folder")));
     reader.exit_if_invalid();
     let run = || -> anyhow::Result<()> {
-        let shape = Shape::read(shape.as_ref())?;
+        let shape = DeploymentSpec::read(shape.as_ref())?;
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()?;
         runtime.block_on(async {
-            let mut fleet = Fleet::lay(shape, &folder)?;
+            let mut fleet = Fleet::new(shape, &folder)?;
             tokio::select! {
                 // Asked first, so that it listens before anything is started.
                 biased;
@@ -38,11 +38,15 @@
 
 /// Starts everything, tells where it is, and goes on until it is dropped.
 async fn keep_up(fleet: &mut Fleet, folder: &Path) -> anyhow::Result<Infallible> {
-    fleet.up().await?;
+    fleet.bootstrap().await?;
     for process in fleet.processes.values() {
         println!("{:<14} {:<14} {}", process.name, process.zone, process.ip);
     }
-    let desks: Vec<String> = fleet.desks().iter().map(|desk| desk.to_string()).collect();
+    let desks: Vec<String> = fleet
+        .operator_addresses()
+        .iter()
+        .map(|desk| desk.to_string())
+        .collect();
     let desks = desks.join(",");
     std::fs::write(folder.join("desks"), &desks)?;
     println!("desks: {desks}\nup; ends with Ctrl-C");
--- a/testbed/src/bin/replay.rs
+++ b/testbed/src/bin/replay.rs
@@ -3,8 +3,8 @@
 use settings::{setting, Setting, SettingsReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use testbed::fleet::{Fleet, Shape};
-use testbed::{day, replay};
+use testbed::fleet::{DeploymentSpec, Fleet};
+use testbed::{replay, workload};
 
 const SETTINGS: &[Setting] = &[
     setting("day", "FILE", "the recorded day", None),
@@ -44,7 +44,7 @@
         reader.reject("doors", "doors and desks go together");
     }
     let day = match std::fs::read_to_string(&path) {
-        Ok(text) => day::parse(&text).unwrap_or_else(|complaints| {
+        Ok(text) => workload::parse(&text).unwrap_or_else(|complaints| {
             complaints
                 .iter()
                 .for_each(|complaint| reader.reject(&path, complaint));
@@ -67,13 +67,13 @@
 }
 
 fn run(
-    day: Vec<day::Moment>,
+    day: Vec<workload::TimedAction>,
     shape: &str,
     folder: PathBuf,
     doors: Vec<SocketAddr>,
     desks: Vec<SocketAddr>,
 ) -> anyhow::Result<bool> {
-    let shape = Shape::read(shape.as_ref())?;
+    let shape = DeploymentSpec::read(shape.as_ref())?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
@@ -83,7 +83,7 @@
                 .into_iter()
                 .map(|door| (door, String::new()))
                 .collect();
-            let ends = replay::Ends {
+            let ends = replay::Targets {
                 doors,
                 desks,
                 router_desks: Vec::new(),
@@ -94,11 +94,11 @@
             println!("jobs: {}; see callers.jsonl", lines.len());
             return Ok(true);
         }
-        let mut fleet = Fleet::lay(shape, &folder)?;
-        fleet.up().await?;
-        let ends = replay::Ends::of(&fleet);
+        let mut fleet = Fleet::new(shape, &folder)?;
+        fleet.bootstrap().await?;
+        let ends = replay::Targets::of_fleet(&fleet);
         replay::play(ends, Some(&mut fleet), day, &folder).await?;
-        let (journals, findings) = replay::judge(&fleet, &folder)?;
+        let (journals, findings) = replay::check_rules(&fleet, &folder)?;
         print!("{}", replay::summary(&fleet, &journals).await?);
         println!("rules broken: {}", findings.len());
         findings
--- a/testbed/src/bin/scenarios.rs
+++ b/testbed/src/bin/scenarios.rs
@@ -7,8 +7,8 @@
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::path::{Path, PathBuf};
-use testbed::fleet::{Fleet, Shape};
-use testbed::{day, faults, replay};
+use testbed::fleet::{DeploymentSpec, Fleet};
+use testbed::{fault_plan, replay, workload};
 
 const SETTINGS: &[Setting] = &[
     setting(
@@ -110,8 +110,9 @@
         println!("{HEAD}");
         let mut broken = 0;
         for day in &days {
-            let moments = day::make(&day.shape, Some(&day.scenario), seconds, scale, day.seed)?;
-            let shape = Shape::parse(&day.shape)?;
+            let moments =
+                workload::make(&day.shape, Some(&day.scenario), seconds, scale, day.seed)?;
+            let shape = DeploymentSpec::parse(&day.shape)?;
             // With its runtime a scenario's relays end, too.
             let runtime = tokio::runtime::Builder::new_multi_thread()
                 .enable_all()
@@ -162,11 +163,11 @@
     (seconds, scale): (u64, f64),
 ) -> anyhow::Result<Vec<Day>> {
     let shape = std::fs::read_to_string(path)?;
-    Shape::parse(&shape)?;
+    DeploymentSpec::parse(&shape)?;
     let mut days = Vec::new();
     if scenarios.is_empty() {
         for seed in seeds {
-            let scenario = faults::draw(&shape, *seed, kinds)?;
+            let scenario = fault_plan::draw(&shape, *seed, kinds)?;
             let name = text(&scenario, "name").to_string();
             days.push(Day {
                 name,
@@ -176,7 +177,7 @@
             });
         }
     } else {
-        let list = day::scenarios(&std::fs::read_to_string(scenarios)?, &shape)?;
+        let list = workload::scenarios(&std::fs::read_to_string(scenarios)?, &shape)?;
         let wanted: Vec<&str> = only.split(',').filter(|name| !name.is_empty()).collect();
         if let Some(name) = wanted
             .iter()
@@ -195,7 +196,7 @@
         }
     }
     for day in &days {
-        day::make(&shape, Some(&day.scenario), seconds, scale, day.seed)
+        workload::make(&shape, Some(&day.scenario), seconds, scale, day.seed)
             .map_err(|error| error.context(day.name.clone()))?;
     }
     Ok(days)
@@ -207,20 +208,20 @@
 
 async fn one(
     name: &str,
-    shape: Shape,
-    moments: Vec<day::Moment>,
+    shape: DeploymentSpec,
+    moments: Vec<workload::TimedAction>,
     folder: &Path,
 ) -> anyhow::Result<usize> {
     // A journal is added to; an older run's would be judged along.
     if folder.exists() {
         std::fs::remove_dir_all(folder)?;
     }
-    let mut fleet = Fleet::lay(shape, folder)?;
+    let mut fleet = Fleet::new(shape, folder)?;
     fleet.relay().await?;
-    fleet.up().await?;
-    let ends = replay::Ends::of(&fleet);
+    fleet.bootstrap().await?;
+    let ends = replay::Targets::of_fleet(&fleet);
     replay::play(ends, Some(&mut fleet), moments, folder).await?;
-    let (journals, findings) = replay::judge(&fleet, folder)?;
+    let (journals, findings) = replay::check_rules(&fleet, folder)?;
     row(name, &journals, &findings);
     for finding in findings.iter().take(20) {
         eprintln!("{name}: {finding}");
--- a/testbed/src/bin/day.rs
+++ b/testbed/src/bin/workload.rs
@@ -37,7 +37,7 @@
     reader.exit_if_invalid();
     let run = || -> anyhow::Result<()> {
         let text = std::fs::read_to_string(&shape)?;
-        for moment in testbed::day::make(&text, None, seconds, scale, seed)? {
+        for moment in testbed::workload::make(&text, None, seconds, scale, seed)? {
             println!("{}", moment.line());
         }
         Ok(())
--- a/testbed/src/faults.rs
+++ b/testbed/src/fault_plan.rs
@@ -285,14 +285,15 @@
     #[test]
     fn a_drawn_day_is_the_same_for_the_same_seed_and_can_be_played() {
         for shape in [
-            include_str!("../shapes/haatbari.json"),
-            include_str!("../shapes/turnos.json"),
+            include_str!("../deployments/haatbari.json"),
+            include_str!("../deployments/turnos.json"),
         ] {
             let mut seen = std::collections::BTreeSet::new();
             for seed in 0..60 {
                 let day = draw(shape, seed, &[]).expect("a day is drawn");
                 assert_eq!(draw(shape, seed, &[]).expect("and again"), day);
-                let moments = crate::day::make(shape, Some(&day), 20, 0.1, seed).expect("it reads");
+                let moments =
+                    crate::workload::make(shape, Some(&day), 20, 0.1, seed).expect("it reads");
                 assert!(moments.len() > 20);
                 let kinds = day
                     .get("kinds")
--- a/testbed/src/fleet/cluster.rs
+++ b/testbed/src/fleet/cluster.rs
@@ -1,7 +1,7 @@
 //! A fleet as a cluster: founding it, changing it, and what its processes say.
 
-use super::client::{ask, wait};
-use super::process::Kind;
+use super::operator_request::{operator_request, wait_until};
+use super::process::ProcessKind;
 use super::Fleet;
 use anyhow::{anyhow, bail};
 use simd_json::prelude::*;
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 impl Fleet {
-    pub fn desks(&self) -> Vec<SocketAddr> {
-        self.of(Kind::Directory)
+    pub fn operator_addresses(&self) -> Vec<SocketAddr> {
+        self.of(ProcessKind::Directory)
             .iter()
-            .map(|process| process.desk())
+            .map(|process| process.operator_address())
             .collect()
     }
 
@@ -23,8 +23,8 @@
             body.insert("id", format!("{:016x}", rand::random::<u64>()))?;
         }
         let mut last = anyhow!("there is no desk");
-        for desk in self.desks() {
-            match ask(desk, "POST", "/submit", &body).await {
+        for desk in self.operator_addresses() {
+            match operator_request(desk, "POST", "/submit", &body).await {
                 Ok(answer) => {
                     return answer
                         .get("epoch")
@@ -39,21 +39,21 @@
 
     /// Starts everything, founds the cluster, puts book, keys and engines in
     /// force, and waits until all of it is, everywhere.
-    pub async fn up(&mut self) -> anyhow::Result<()> {
-        self.start_all(Kind::Engine)?;
-        self.start_all(Kind::Directory)?;
-        self.start_all(Kind::Router)?;
-        let first = self.desks()[0];
-        wait(Duration::from_secs(30), "the first desk", async || {
-            ask(first, "GET", "/counters", &OwnedValue::null())
+    pub async fn bootstrap(&mut self) -> anyhow::Result<()> {
+        self.start_all(ProcessKind::Engine)?;
+        self.start_all(ProcessKind::Directory)?;
+        self.start_all(ProcessKind::Router)?;
+        let first = self.operator_addresses()[0];
+        wait_until(Duration::from_secs(30), "the first desk", async || {
+            operator_request(first, "GET", "/counters", &OwnedValue::null())
                 .await
                 .map(|_| ())
         })
         .await?;
-        ask(first, "POST", "/found", &OwnedValue::null()).await?;
-        let members = self.of(Kind::Directory).len();
-        wait(Duration::from_secs(30), "all voters", async || {
-            let status = ask(first, "GET", "/status", &OwnedValue::null()).await?;
+        operator_request(first, "POST", "/found", &OwnedValue::null()).await?;
+        let members = self.of(ProcessKind::Directory).len();
+        wait_until(Duration::from_secs(30), "all voters", async || {
+            let status = operator_request(first, "GET", "/status", &OwnedValue::null()).await?;
             let voters = status
                 .get("members")
                 .and_then(|v| v.as_array())
@@ -66,23 +66,29 @@
             Ok(())
         })
         .await?;
-        self.submit(json!({ "do": "revise", "whole": true, "book": self.shape.book.clone() }))
+        self.submit(json!({ "do": "revise", "whole": true, "book": self.spec.topology.clone() }))
             .await?;
-        for (tenant, key) in &self.shape.keys {
+        for (tenant, key) in &self.spec.keys {
             self.submit(json!({ "do": "key", "tenant": tenant.clone(), "key": key.clone() }))
                 .await?;
         }
         let mut epoch = 0;
-        for engine in self.of(Kind::Engine) {
-            epoch = self.submit(engine.listing("serving")).await?;
+        for engine in self.of(ProcessKind::Engine) {
+            epoch = self.submit(engine.engine_proposal("serving")).await?;
         }
         // A node that no majority has confirmed yet takes no job.
-        for node in self.of(Kind::Directory) {
-            wait(
+        for node in self.of(ProcessKind::Directory) {
+            wait_until(
                 Duration::from_secs(30),
                 &format!("{} confirmed", node.name),
                 async || {
-                    let status = ask(node.desk(), "GET", "/status", &OwnedValue::null()).await?;
+                    let status = operator_request(
+                        node.operator_address(),
+                        "GET",
+                        "/status",
+                        &OwnedValue::null(),
+                    )
+                    .await?;
                     let is_recent = status
                         .get("recent")
                         .and_then(|v| v.as_bool())
@@ -101,15 +107,21 @@
     /// its neighbours.
     pub async fn in_force(&self, epoch: u64, patience: Duration) -> anyhow::Result<()> {
         for router in self
-            .of(Kind::Router)
+            .of(ProcessKind::Router)
             .iter()
             .filter(|router| router.child.is_some())
         {
-            wait(
+            wait_until(
                 patience,
                 &format!("epoch {epoch} at {}", router.name),
                 async || {
-                    let vitals = ask(router.desk(), "GET", "/vitals", &OwnedValue::null()).await?;
+                    let vitals = operator_request(
+                        router.operator_address(),
+                        "GET",
+                        "/vitals",
+                        &OwnedValue::null(),
+                    )
+                    .await?;
                     let at = vitals.get("epoch").and_then(|v| v.as_u64()).unwrap_or(0);
                     anyhow::ensure!(at >= epoch, "it has {at}");
                     let engines = vitals.get("engines").and_then(|v| v.as_array());
@@ -119,12 +131,12 @@
                             .count()
                     });
                     let down = self
-                        .of(Kind::Engine)
+                        .of(ProcessKind::Engine)
                         .iter()
                         .filter(|e| e.child.is_none())
                         .count();
                     anyhow::ensure!(silent <= down, "{silent} engines are not heard");
-                    let near = self.of(Kind::Router);
+                    let near = self.of(ProcessKind::Router);
                     let near = near
                         .iter()
                         .filter(|r| r.child.is_some() && r.region == router.region);
@@ -146,14 +158,20 @@
 
     /// Waits until the running routers' shares hold so many mappings together.
     pub async fn shared(&self, wanted: u64) -> anyhow::Result<()> {
-        wait(Duration::from_secs(20), "the shared layer", async || {
+        wait_until(Duration::from_secs(20), "the shared layer", async || {
             let mut sum = 0;
             for router in self
-                .of(Kind::Router)
+                .of(ProcessKind::Router)
                 .iter()
                 .filter(|router| router.child.is_some())
             {
-                let vitals = ask(router.desk(), "GET", "/vitals", &OwnedValue::null()).await?;
+                let vitals = operator_request(
+                    router.operator_address(),
+                    "GET",
+                    "/vitals",
+                    &OwnedValue::null(),
+                )
+                .await?;
                 sum += vitals
                     .get("cached_share")
                     .and_then(|v| v.as_u64())
@@ -166,14 +184,20 @@
     }
 
     /// The sum of one counter over all running processes of a kind.
-    pub async fn count(&self, kind: Kind, name: &str) -> anyhow::Result<u64> {
+    pub async fn count(&self, kind: ProcessKind, name: &str) -> anyhow::Result<u64> {
         let mut sum = 0;
         for process in self
             .of(kind)
             .iter()
             .filter(|process| process.child.is_some())
         {
-            let counters = ask(process.desk(), "GET", "/counters", &OwnedValue::null()).await?;
+            let counters = operator_request(
+                process.operator_address(),
+                "GET",
+                "/counters",
+                &OwnedValue::null(),
+            )
+            .await?;
             sum += counters.get(name).and_then(|v| v.as_u64()).unwrap_or(0);
         }
         Ok(sum)
@@ -182,11 +206,18 @@
     /// The name of the node that leads, as the running nodes see it.
     pub async fn leader(&self) -> anyhow::Result<String> {
         for node in self
-            .of(Kind::Directory)
+            .of(ProcessKind::Directory)
             .iter()
             .filter(|node| node.child.is_some())
         {
-            let Ok(status) = ask(node.desk(), "GET", "/status", &OwnedValue::null()).await else {
+            let Ok(status) = operator_request(
+                node.operator_address(),
+                "GET",
+                "/status",
+                &OwnedValue::null(),
+            )
+            .await
+            else {
                 continue;
             };
             if status.get("leads").and_then(|v| v.as_bool()) == Some(true) {
--- a/testbed/src/fleet/control.rs
+++ b/testbed/src/fleet/control.rs
@@ -1,8 +1,8 @@
 //! Starting, stopping and signalling the processes of a fleet.
 
-use super::process::{is_stopped, program, Kind, Process, ADDRESS, DESK};
+use super::process::{is_stopped, program, Process, ProcessKind, OPERATOR_PORT, PEER_PORT};
 use super::Fleet;
-use crate::children;
+use crate::child_process;
 use anyhow::{anyhow, bail};
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -11,10 +11,10 @@
 impl Fleet {
     fn command(&self, process: &Process) -> anyhow::Result<Command> {
         let address = process.address().to_string();
-        let real = SocketAddr::new(process.ip, ADDRESS).to_string();
-        let desk = SocketAddr::new(process.ip, DESK).to_string();
+        let real = SocketAddr::new(process.ip, PEER_PORT).to_string();
+        let desk = SocketAddr::new(process.ip, OPERATOR_PORT).to_string();
         let seeds: Vec<String> = self
-            .of(Kind::Directory)
+            .of(ProcessKind::Directory)
             .iter()
             .take(3)
             .map(|seed| seed.address().to_string())
@@ -30,20 +30,20 @@
         ];
         let mut command;
         match process.kind {
-            Kind::Directory => {
+            ProcessKind::Directory => {
                 command = Command::new(program("directory")?);
                 let data = self.folder.join("data").join(&process.name);
                 command.args(node.as_flattened());
                 command.arg("--data").arg(data).args(&process.args);
             }
-            Kind::Router => {
+            ProcessKind::Router => {
                 command = Command::new(program("router")?);
                 command.args(&process.args);
-                let door = process.door().to_string();
+                let door = process.client_address().to_string();
                 command.args(node.as_flattened());
                 command.args(["--door", &door]);
             }
-            Kind::Engine => {
+            ProcessKind::Engine => {
                 command = Command::new(program("engine")?);
                 let [_, _, slots, pieces, piece_ms, prefill_ms] = &process.args[..] else {
                     bail!("an engine has six settings")
@@ -70,7 +70,7 @@
                     .arg(self.journals().join(format!("{}.jsonl", process.name)));
             }
         }
-        if process.kind != Kind::Engine && real != address {
+        if process.kind != ProcessKind::Engine && real != address {
             command.args(["--listen", &real]);
         }
         let log = std::fs::File::options().create(true).append(true).open(
@@ -95,14 +95,14 @@
             child.wait()?;
         }
         process.is_stopping = false;
-        let child = children::spawn(self.command(self.get(name))?)?;
+        let child = child_process::spawn(self.command(self.get(name))?)?;
         let process = self.processes.get_mut(name).expect("looked up above");
         process.child = Some(child);
         process.has_run = true;
         Ok(())
     }
 
-    pub fn start_all(&mut self, kind: Kind) -> anyhow::Result<()> {
+    pub fn start_all(&mut self, kind: ProcessKind) -> anyhow::Result<()> {
         let names: Vec<String> = self.of(kind).iter().map(|p| p.name.clone()).collect();
         for name in &names {
             self.start(name)?;
@@ -143,7 +143,7 @@
     }
 
     /// Asks a process to stop.
-    pub fn ask_to_stop(&mut self, name: &str) -> anyhow::Result<()> {
+    pub fn request_stop(&mut self, name: &str) -> anyhow::Result<()> {
         self.signal(name, nix::sys::signal::Signal::SIGTERM)?;
         self.processes
             .get_mut(name)
@@ -154,7 +154,7 @@
 
     /// Asks a process to stop, and waits for it.
     pub fn stop(&mut self, name: &str) -> anyhow::Result<std::process::ExitStatus> {
-        self.ask_to_stop(name)?;
+        self.request_stop(name)?;
         let process = self
             .processes
             .get_mut(name)
@@ -163,7 +163,7 @@
     }
 
     /// Loses a directory node's disk.
-    pub fn wipe(&self, name: &str) -> anyhow::Result<()> {
+    pub fn delete_data(&self, name: &str) -> anyhow::Result<()> {
         Ok(std::fs::remove_dir_all(
             self.folder.join("data").join(name),
         )?)
--- a/testbed/src/fleet/shape.rs
+++ b/testbed/src/fleet/deployment_spec.rs
@@ -7,9 +7,9 @@
 use std::path::Path;
 
 /// What a deployment shape asks for. Invariant: its book reads.
-pub struct Shape {
+pub struct DeploymentSpec {
     pub name: String,
-    pub book: OwnedValue,
+    pub topology: OwnedValue,
     /// Tenant to key.
     pub keys: BTreeMap<String, String>,
     /// Zone to count.
@@ -32,20 +32,20 @@
         .collect()
 }
 
-impl Shape {
-    pub fn read(path: &Path) -> anyhow::Result<Shape> {
+impl DeploymentSpec {
+    pub fn read(path: &Path) -> anyhow::Result<DeploymentSpec> {
         let text = std::fs::read_to_string(path).with_context(|| format!("{}", path.display()))?;
-        Shape::parse(&text).with_context(|| format!("{}", path.display()))
+        DeploymentSpec::parse(&text).with_context(|| format!("{}", path.display()))
     }
 
-    pub fn parse(text: &str) -> anyhow::Result<Shape> {
+    pub fn parse(text: &str) -> anyhow::Result<DeploymentSpec> {
         let value = residency::parse_json(text).map_err(|text| anyhow!(text))?;
-        let book = value
+        let topology = value
             .get("book")
             .ok_or(anyhow!("book: it is missing"))?
             .clone();
-        let read =
-            residency::Topology::from_json(&book).map_err(|errors| anyhow!("book:\n{errors}"))?;
+        let read = residency::Topology::from_json(&topology)
+            .map_err(|errors| anyhow!("book:\n{errors}"))?;
         let (routers, directories) = (counts(&value, "routers")?, counts(&value, "directories")?);
         for zone in routers.keys().chain(directories.keys()) {
             if !read.zones.contains_key(zone) {
@@ -80,9 +80,9 @@
             .and_then(|v| v.as_str())
             .unwrap_or("fleet")
             .to_string();
-        Ok(Shape {
+        Ok(DeploymentSpec {
             name,
-            book,
+            topology,
             keys,
             routers,
             directories,
--- a/testbed/src/fleet/mod.rs
+++ b/testbed/src/fleet/mod.rs
@@ -1,19 +1,19 @@
 //! A whole fleet on one machine: real processes, each with a loopback address
 //! of its own, from which it also dials.
 
-mod client;
 mod cluster;
 mod control;
+mod deployment_spec;
+mod operator_request;
 mod process;
-mod shape;
 
-pub use client::{ask, wait};
-pub use process::{free_octet, program, Kind, Process};
-pub use shape::Shape;
+pub use deployment_spec::DeploymentSpec;
+pub use operator_request::{operator_request, wait_until};
+pub use process::{free_octet, program, Process, ProcessKind};
 
 use crate::relay::Network;
 use anyhow::{anyhow, bail};
-use process::ADDRESS;
+use process::PEER_PORT;
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -23,7 +23,7 @@
 /// Invariant: every child that was started and not ended is in `processes`,
 /// and ends with the fleet, or with this process however that ends.
 pub struct Fleet {
-    pub shape: Shape,
+    pub spec: DeploymentSpec,
     pub folder: PathBuf,
     pub processes: BTreeMap<String, Process>,
     pub network: Option<Arc<Network>>,
@@ -32,11 +32,11 @@
 
 impl Fleet {
     /// Lays a fleet out, starting nothing.
-    pub fn lay(shape: Shape, folder: &Path) -> anyhow::Result<Fleet> {
+    pub fn new(spec: DeploymentSpec, folder: &Path) -> anyhow::Result<Fleet> {
         let (octet, mark) = free_octet()?;
-        let book = residency::Topology::from_json(&shape.book)?;
+        let topology = residency::Topology::from_json(&spec.topology)?;
         let mut fleet = Fleet {
-            shape,
+            spec,
             folder: folder.to_path_buf(),
             processes: BTreeMap::new(),
             network: None,
@@ -49,14 +49,14 @@
             IpAddr::V4(Ipv4Addr::new(127, octet, row, next))
         };
         let mut add = |kind, name: String, zone: &str, ip: IpAddr, args: Vec<String>| {
-            let region = book.zones.get(zone).cloned().unwrap_or_default();
+            let region = topology.zones.get(zone).cloned().unwrap_or_default();
             let process = Process {
                 kind,
                 name: name.clone(),
                 region,
                 zone: zone.into(),
                 ip,
-                known: ip,
+                advertised_ip: ip,
                 args,
                 child: None,
                 has_run: false,
@@ -65,8 +65,13 @@
             fleet.processes.insert(name, process);
         };
         for (kind, row, word, zones) in [
-            (Kind::Directory, 1, "directory", &fleet.shape.directories),
-            (Kind::Router, 2, "router", &fleet.shape.routers),
+            (
+                ProcessKind::Directory,
+                1,
+                "directory",
+                &fleet.spec.directories,
+            ),
+            (ProcessKind::Router, 2, "router", &fleet.spec.routers),
         ] {
             let mut number = 0;
             for (zone, count) in zones {
@@ -77,7 +82,7 @@
             }
         }
         let mut number = 0;
-        for (cell, engine) in &fleet.shape.engines {
+        for (cell, engine) in &fleet.spec.engines {
             let field = |name: &str, default: u64| {
                 engine
                     .get(name)
@@ -85,7 +90,7 @@
                     .unwrap_or(default)
                     .to_string()
             };
-            let zone = book
+            let zone = topology
                 .cells
                 .get(cell)
                 .ok_or(anyhow!("engines: there is no cell {cell}"))?;
@@ -104,7 +109,13 @@
                     field("piece_ms", 15),
                     field("prefill_ms", 80),
                 ];
-                add(Kind::Engine, format!("engine-{number}"), zone, ip(3), args);
+                add(
+                    ProcessKind::Engine,
+                    format!("engine-{number}"),
+                    zone,
+                    ip(3),
+                    args,
+                );
             }
         }
         Ok(fleet)
@@ -119,8 +130,8 @@
                 bail!("the fleet has addresses of version 4")
             };
             let [first, second, row, last] = ip.octets();
-            process.known = IpAddr::V4(Ipv4Addr::new(first, second, row + 100, last));
-            let real = SocketAddr::new(process.ip, ADDRESS);
+            process.advertised_ip = IpAddr::V4(Ipv4Addr::new(first, second, row + 100, last));
+            let real = SocketAddr::new(process.ip, PEER_PORT);
             network.relay(process.address(), real).await?;
         }
         self.network = Some(network);
@@ -129,11 +140,11 @@
 
     /// The processes that a word stands for: one by its name, those of a zone,
     /// `core` the directory nodes, `fronts` the routers, `nodes` both.
-    pub fn named(&self, word: &str) -> anyhow::Result<Vec<String>> {
+    pub fn resolve(&self, word: &str) -> anyhow::Result<Vec<String>> {
         let fits = |process: &&Process| match word {
-            "core" => process.kind == Kind::Directory,
-            "fronts" => process.kind == Kind::Router,
-            "nodes" => process.kind != Kind::Engine,
+            "core" => process.kind == ProcessKind::Directory,
+            "fronts" => process.kind == ProcessKind::Router,
+            "nodes" => process.kind != ProcessKind::Engine,
             "all" => true,
             word => process.name == word || process.zone == word,
         };
@@ -149,7 +160,7 @@
 
     /// Cuts some processes off from all others, by what they send, by what
     /// they are sent, or both.
-    pub fn cut(&self, names: &[String], outward: bool, inward: bool) -> anyhow::Result<()> {
+    pub fn partition(&self, names: &[String], outward: bool, inward: bool) -> anyhow::Result<()> {
         let network = self
             .network
             .as_ref()
@@ -180,7 +191,7 @@
             .unwrap_or_else(|| panic!("the fleet has no {name}"))
     }
 
-    pub fn of(&self, kind: Kind) -> Vec<&Process> {
+    pub fn of(&self, kind: ProcessKind) -> Vec<&Process> {
         self.processes
             .values()
             .filter(|process| process.kind == kind)
--- a/testbed/src/fleet/process.rs
+++ b/testbed/src/fleet/process.rs
@@ -6,12 +6,12 @@
 use std::path::PathBuf;
 use std::process::Child;
 
-pub(super) const ADDRESS: u16 = 7100;
-pub(super) const DESK: u16 = 7101;
-const DOOR: u16 = 7102;
+pub(super) const PEER_PORT: u16 = 7100;
+pub(super) const OPERATOR_PORT: u16 = 7101;
+const CLIENT_PORT: u16 = 7102;
 
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Kind {
+pub enum ProcessKind {
     Directory,
     Router,
     Engine,
@@ -19,14 +19,14 @@
 
 /// One process of the fleet, running or not.
 pub struct Process {
-    pub kind: Kind,
+    pub kind: ProcessKind,
     pub name: String,
     pub region: String,
     pub zone: String,
     /// Where it really is, and dials from.
     pub ip: IpAddr,
     /// Where the others find it.
-    pub(super) known: IpAddr,
+    pub(super) advertised_ip: IpAddr,
     pub args: Vec<String>,
     pub(super) child: Option<Child>,
     /// It ran before: an engine that returns is cold.
@@ -37,19 +37,19 @@
 
 impl Process {
     pub fn address(&self) -> SocketAddr {
-        SocketAddr::new(self.known, ADDRESS)
+        SocketAddr::new(self.advertised_ip, PEER_PORT)
     }
 
-    pub fn desk(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, DESK)
+    pub fn operator_address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, OPERATOR_PORT)
     }
 
-    pub fn door(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, DOOR)
+    pub fn client_address(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, CLIENT_PORT)
     }
 
     /// The proposal that lists this engine.
-    pub fn listing(&self, state: &str) -> OwnedValue {
+    pub fn engine_proposal(&self, state: &str) -> OwnedValue {
         let services: Vec<String> = self.args[1].split(',').map(String::from).collect();
         json!({
             "do": "engine", "name": self.name.clone(), "address": self.address().to_string(),
@@ -81,7 +81,8 @@
     let start = std::process::id() as usize;
     for step in 0..200 {
         let octet = 20 + ((start + step) % 200) as u8;
-        if let Ok(mark) = std::net::TcpListener::bind((Ipv4Addr::new(127, octet, 0, 1), ADDRESS)) {
+        if let Ok(mark) = std::net::TcpListener::bind((Ipv4Addr::new(127, octet, 0, 1), PEER_PORT))
+        {
             return Ok((octet, mark));
         }
     }
--- a/testbed/src/journal.rs
+++ b/testbed/src/journal.rs
@@ -12,7 +12,7 @@
 pub struct Journal(Mutex<File>);
 
 /// Microseconds since 1970.
-pub fn wall() -> u64 {
+pub fn wall_clock_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |age| age.as_micros() as u64)
@@ -33,7 +33,7 @@
     pub fn note(&self, mut value: OwnedValue) {
         if value.get("at").is_none() {
             value
-                .insert("at", wall())
+                .insert("at", wall_clock_us())
                 .expect("a journal's line is an object");
         }
         let line = value.encode() + "\n";
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -2,15 +2,15 @@
 //! injected faults, and the replay of recorded days. For development only; no daemon
 //! uses this package.
 
-pub mod caller;
-pub mod children;
-pub mod day;
-pub mod engine;
-pub mod faults;
+pub mod child_process;
+pub mod client;
+pub mod fault_plan;
 pub mod fleet;
-pub mod hollow;
 pub mod journal;
 pub mod plot;
 pub mod random;
 pub mod relay;
 pub mod replay;
+pub mod simulated_engine;
+pub mod simulated_router;
+pub mod workload;
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -1,11 +1,11 @@
 //! Plays a recorded day: callers by the doors, operators by the desks, and, in
 //! a fleet of its own, what happens to machines.
 
-use crate::caller::{call, Call, Seen};
-use crate::children;
-use crate::day::{Job, Moment, What};
-use crate::fleet::{program, Fleet, Kind};
-use crate::journal::{self, wall, Journal};
+use crate::child_process;
+use crate::client::{send_request, ClientOutcome, ClientRequest};
+use crate::fleet::{program, Fleet, ProcessKind};
+use crate::journal::{self, wall_clock_us, Journal};
+use crate::workload::{Action, RecordedRequest, TimedAction};
 use checker::{check, Deployment, Finding, Journals, Role};
 use parking_lot::Mutex;
 use simd_json::prelude::*;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 /// What callers and operators need to know.
-pub struct Ends {
+pub struct Targets {
     /// Doors to ask first, with their zones.
     pub doors: Vec<(SocketAddr, String)>,
     pub desks: Vec<SocketAddr>,
@@ -28,14 +28,17 @@
     pub keys: BTreeMap<String, String>,
 }
 
-impl Ends {
-    pub fn of(fleet: &Fleet) -> Ends {
-        let routers = fleet.of(Kind::Router);
-        Ends {
-            doors: routers.iter().map(|r| (r.door(), r.zone.clone())).collect(),
-            desks: fleet.desks(),
-            router_desks: routers.iter().map(|r| r.desk()).collect(),
-            keys: fleet.shape.keys.clone(),
+impl Targets {
+    pub fn of_fleet(fleet: &Fleet) -> Targets {
+        let routers = fleet.of(ProcessKind::Router);
+        Targets {
+            doors: routers
+                .iter()
+                .map(|r| (r.client_address(), r.zone.clone()))
+                .collect(),
+            desks: fleet.operator_addresses(),
+            router_desks: routers.iter().map(|r| r.operator_address()).collect(),
+            keys: fleet.spec.keys.clone(),
         }
     }
 }
@@ -50,7 +53,7 @@
 }
 
 struct Stage {
-    ends: Ends,
+    ends: Targets,
     callers: Journal,
     submitted: Mutex<Vec<Submitted>>,
     /// What `where` said, by tenant and zone; asked again after two seconds.
@@ -127,7 +130,7 @@
     /// A caller's job, over all rounds that the caller makes of it: again where
     /// it was told that nothing ran, when it was told to, and where it may run
     /// twice also after an outcome that is not known. Some come back at once.
-    async fn job(&self, root: String, job: Job, salt: u64) {
+    async fn job(&self, root: String, job: RecordedRequest, salt: u64) {
         let key = self.ends.keys.get(&job.tenant).cloned().unwrap_or_default();
         let sent = |text: &str| text.replace("@tenant", &key);
         let is_rude = salt % 50 == 7;
@@ -137,7 +140,7 @@
             } else {
                 format!("{root}-r{round}")
             };
-            let work = Call {
+            let work = ClientRequest {
                 id,
                 method: job.method.clone(),
                 target: sent(&job.target),
@@ -149,13 +152,15 @@
                 body: job.bytes(&key, salt),
             };
             let told = match self.round(&root, &job, &work).await {
-                Seen::Refused {
+                ClientOutcome::Rejected {
                     outcome,
                     retry_after,
                     ..
-                } if outcome == "not-run" || !job.is_once => retry_after,
-                Seen::Unreached => Some(1),
-                Seen::Broken | Seen::Lost(_) if !job.is_once => Some(1),
+                } if outcome == "not-run" || !job.must_not_repeat => retry_after,
+                ClientOutcome::ConnectFailed => Some(1),
+                ClientOutcome::Truncated | ClientOutcome::NoResponse(_) if !job.must_not_repeat => {
+                    Some(1)
+                }
                 _ => None,
             };
             let Some(seconds) = told else { return };
@@ -166,9 +171,14 @@
     }
 
     /// One round of a job, written down.
-    async fn round(&self, root: &str, job: &Job, work: &Call) -> Seen {
-        let at = wall();
-        let mut seen = Seen::Unreached;
+    async fn round(
+        &self,
+        root: &str,
+        job: &RecordedRequest,
+        work: &ClientRequest,
+    ) -> ClientOutcome {
+        let at = wall_clock_us();
+        let mut seen = ClientOutcome::ConnectFailed;
         let mut used = None;
         for door in self
             .whereabouts(&job.tenant, &job.zone)
@@ -177,28 +187,28 @@
             .take(3)
         {
             used = Some(door);
-            seen = call(door, work, CALLER_PATIENCE).await;
+            seen = send_request(door, work, CALLER_PATIENCE).await;
             // Nothing was sent to a router that can't be reached.
-            if seen != Seen::Unreached {
+            if seen != ClientOutcome::ConnectFailed {
                 break;
             }
         }
         let mut line = json!({
-            "at": at, "done": wall(), "job": work.id.clone(), "root": root,
+            "at": at, "done": wall_clock_us(), "job": work.id.clone(), "root": root,
             "tenant": job.tenant.clone(), "zone": job.zone.clone(),
-            "service": job.service.clone(), "once": job.is_once,
+            "service": job.service.clone(), "once": job.must_not_repeat,
             "door": used.map(|door| door.to_string()),
         });
         let mut put = |name: &str, value: OwnedValue| {
             line.insert(name, value).expect("a line is an object");
         };
         match &seen {
-            Seen::Whole { engine, run, .. } => {
+            ClientOutcome::Complete { engine, run, .. } => {
                 put("seen", "whole".into());
                 put("engine", engine.clone().into());
                 put("run", (*run).into());
             }
-            Seen::Refused {
+            ClientOutcome::Rejected {
                 status,
                 outcome,
                 code,
@@ -210,13 +220,13 @@
                 put("code", code.clone().into());
                 put("retry_after", (*retry_after).into());
             }
-            Seen::Broken => put("seen", "broken".into()),
-            Seen::Unreached => put("seen", "unreached".into()),
-            Seen::Lost(text) => {
+            ClientOutcome::Truncated => put("seen", "broken".into()),
+            ClientOutcome::ConnectFailed => put("seen", "unreached".into()),
+            ClientOutcome::NoResponse(text) => {
                 put("seen", "lost".into());
                 put("text", text.clone().into());
             }
-            Seen::Wrong(text) => {
+            ClientOutcome::Corrupt(text) => {
                 put("seen", "wrong".into());
                 put("text", text.clone().into());
             }
@@ -228,7 +238,7 @@
     /// Submits a change by the operators' command line, again and again under
     /// one id until the outcome is known.
     async fn operator(&self, change: OwnedValue) {
-        let mut line = json!({ "at": wall() });
+        let mut line = json!({ "at": wall_clock_us() });
         for field in ["do", "zone", "name", "tenant", "state", "book"] {
             if let Some(value) = change.get(field) {
                 line.insert(field, value.clone())
@@ -271,7 +281,8 @@
                     .ok()
             });
             if let Some(epoch) = epoch.filter(|_| is_done) {
-                line.insert("acknowledged", wall()).expect("an object");
+                line.insert("acknowledged", wall_clock_us())
+                    .expect("an object");
                 line.insert("epoch", epoch).expect("an object");
                 line.insert("repeated", text.contains("a repeat"))
                     .expect("an object");
@@ -313,7 +324,9 @@
         let until = std::time::Instant::now() + Duration::from_secs(15);
         while std::time::Instant::now() < until {
             for desk in &self.ends.desks {
-                if let Ok(answer) = crate::fleet::ask(*desk, "POST", "/submit", &body).await {
+                if let Ok(answer) =
+                    crate::fleet::operator_request(*desk, "POST", "/submit", &body).await
+                {
                     return answer.get("epoch").and_then(|v| v.as_u64());
                 }
             }
@@ -373,7 +386,7 @@
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped());
-    let mut child = children::spawn(command)?;
+    let mut child = child_process::spawn(command)?;
     let mut stdin = child.stdin.take().expect("it is piped");
     stdin.write_all(input.as_bytes())?;
     drop(stdin);
@@ -403,12 +416,12 @@
         // With nobody leading it stands for nobody.
         "leader" => fleet.leader().await.into_iter().collect(),
         "killed" => standing.killed.clone(),
-        word => fleet.named(word)?,
+        word => fleet.resolve(word)?,
     };
     match action {
         "cut" | "cut-out" | "cut-in" => {
             standing.is_cut = true;
-            fleet.cut(&names, action != "cut-in", action != "cut-out")?;
+            fleet.partition(&names, action != "cut-in", action != "cut-out")?;
         }
         "heal" | "restore" => {
             standing.is_cut = false;
@@ -438,8 +451,10 @@
             }
             "restore" => fleet.start(name)?,
             // Not waited for here, so that the day goes on.
-            "stop" if is_running => fleet.ask_to_stop(name)?,
-            "wipe" if fleet.get(name).kind == Kind::Directory && !is_running => fleet.wipe(name)?,
+            "stop" if is_running => fleet.request_stop(name)?,
+            "wipe" if fleet.get(name).kind == ProcessKind::Directory && !is_running => {
+                fleet.delete_data(name)?
+            }
             _ => {}
         }
     }
@@ -462,9 +477,9 @@
 /// Plays a day. Journals go into `folder`; all jobs have ended when this
 /// returns.
 pub async fn play(
-    ends: Ends,
+    ends: Targets,
     mut fleet: Option<&mut Fleet>,
-    day: Vec<Moment>,
+    day: Vec<TimedAction>,
     folder: &Path,
 ) -> anyhow::Result<()> {
     let stage = Arc::new(Stage {
@@ -483,18 +498,18 @@
     let begun = tokio::time::Instant::now();
     let mark = rand::random::<u32>();
     let mut tasks = tokio::task::JoinSet::new();
-    for (number, moment) in day.into_iter().enumerate() {
-        tokio::time::sleep_until(begun + Duration::from_millis(moment.at_ms)).await;
+    for (number, action) in day.into_iter().enumerate() {
+        tokio::time::sleep_until(begun + Duration::from_millis(action.at_ms)).await;
         let stage = Arc::clone(&stage);
-        match moment.what {
-            What::Job(job) => {
+        match action.action {
+            Action::Request(job) => {
                 let id = format!("{mark:08x}-{number}");
                 tasks.spawn(async move { stage.job(id, job, number as u64).await });
             }
-            What::Operator(change) => {
+            Action::OperatorChange(change) => {
                 tasks.spawn(async move { stage.operator(change).await });
             }
-            What::Machine { action, name } => match &mut fleet {
+            Action::Machine { action, name } => match &mut fleet {
                 Some(fleet) => machine(fleet, &mut standing, &action, &name).await?,
                 None => anyhow::bail!("{action} {name}: this replay has no fleet of its own"),
             },
@@ -509,7 +524,7 @@
 }
 
 /// Reads the journals of a fleet's run and checks them.
-pub fn judge(fleet: &Fleet, folder: &Path) -> anyhow::Result<(Journals, Vec<Finding>)> {
+pub fn check_rules(fleet: &Fleet, folder: &Path) -> anyhow::Result<(Journals, Vec<Finding>)> {
     let mut journals = Journals {
         clients: journal::read(&folder.join("callers.jsonl"))?,
         operators: journal::read(&folder.join("operators.jsonl"))?,
@@ -519,7 +534,7 @@
     let mut processes = Vec::new();
     for process in fleet.processes.values() {
         let path = fleet.journals().join(format!("{}.jsonl", process.name));
-        let is_engine = process.kind == Kind::Engine;
+        let is_engine = process.kind == ProcessKind::Engine;
         if is_engine && path.exists() {
             journals.engines.extend(journal::read(&path)?);
         }
@@ -548,7 +563,7 @@
     journals
         .nodes
         .sort_by_key(|line| line.get("at").and_then(|v| v.as_u64()));
-    let topology = residency::Topology::from_json(&fleet.shape.book)?;
+    let topology = residency::Topology::from_json(&fleet.spec.topology)?;
     let deployment = Deployment::new(&topology, processes.into_iter());
     let findings = check(&deployment, &journals);
     Ok((journals, findings))
@@ -596,7 +611,7 @@
         "answers-lost",
         "refused-no-room",
     ] {
-        counts.insert(name, fleet.count(Kind::Router, name).await?);
+        counts.insert(name, fleet.count(ProcessKind::Router, name).await?);
     }
     let count = |name: &str| counts.get(name).copied().unwrap_or(0) as f64;
     let looked = count("own-fresh")
--- a/testbed/src/engine.rs
+++ b/testbed/src/simulated_engine.rs
@@ -56,7 +56,7 @@
         journal: Journal::open(&settings.journal)?,
         running: AtomicU32::new(0),
         waiting: AtomicU32::new(0),
-        runs: AtomicU64::new(crate::journal::wall()),
+        runs: AtomicU64::new(crate::journal::wall_clock_us()),
         began: std::time::Instant::now(),
         served: AtomicU32::new(if settings.is_cold { 0 } else { 1000 }),
         is_draining: AtomicBool::new(false),
--- a/testbed/src/hollow.rs
+++ b/testbed/src/simulated_router.rs
@@ -17,12 +17,12 @@
 use transport::http_server;
 use transport::{link, now};
 
-const BEAT_MS: u64 = 350;
+const HEARTBEAT_MS: u64 = 350;
 /// Without a lease from a node for this long, the next one is tried.
-const PATIENCE_MS: u64 = 900;
+const LEASE_TIMEOUT_MS: u64 = 900;
 /// Jobs in a beat, of one tenant after the other: 34 a second, as many as 350
 /// routers share of 12,000.
-const JOBS: usize = 12;
+const REQUESTS_PER_HEARTBEAT: usize = 12;
 
 pub struct Settings {
     /// The number of the first of them, and how many they are.
@@ -30,17 +30,17 @@
     pub count: usize,
     /// The second octet of all their addresses.
     pub octet: u8,
-    pub desk: SocketAddr,
+    pub operator_address: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     /// Zones with their regions; routers stand in one after the other.
-    pub places: Vec<(String, String)>,
+    pub zones: Vec<(String, String)>,
     /// Of how many tenants each speaks.
-    pub spoken: usize,
-    pub margin: QuotaTolerance,
+    pub tenants_per_router: usize,
+    pub quota_tolerance: QuotaTolerance,
 }
 
 /// How many routers one octet has addresses for.
-pub const ADDRESSES: usize = 192 * 200;
+pub const MAX_ADDRESSES: usize = 192 * 200;
 
 pub fn address(octet: u8, number: usize) -> Ipv4Addr {
     Ipv4Addr::new(
@@ -57,64 +57,64 @@
     Duration::from(clock).as_secs_f64() * 1_000.0
 }
 
-struct Hollow {
+struct SimulatedRouter {
     name: String,
     number: usize,
     source: SocketAddr,
-    place: (String, String),
-    following: ReplicaView,
+    zone_and_region: (String, String),
+    replica: ReplicaView,
     quota: QuotaLimiter,
-    beats: u64,
+    heartbeats: u64,
     /// Each epoch that came into force here, with when.
     epochs: Vec<(u64, f64)>,
-    company: RouterMembership,
+    membership: RouterMembership,
     /// When the lease that is held here came, on the shared clock.
     lease_valid: f64,
     leases: u64,
     sessions: u64,
     /// Jobs so far.
-    asked: usize,
+    requests: usize,
 }
 
-impl Hollow {
-    fn new(settings: &Settings, number: usize) -> Hollow {
-        Hollow {
+impl SimulatedRouter {
+    fn new(settings: &Settings, number: usize) -> SimulatedRouter {
+        SimulatedRouter {
             name: format!("hollow-{number:05}"),
             number,
             source: SocketAddr::from((address(settings.octet, number), 7362)),
-            place: settings.places[number % settings.places.len()].clone(),
-            following: ReplicaView::default(),
-            quota: QuotaLimiter::without_queue(settings.margin),
-            beats: 0,
+            zone_and_region: settings.zones[number % settings.zones.len()].clone(),
+            replica: ReplicaView::default(),
+            quota: QuotaLimiter::without_queue(settings.quota_tolerance),
+            heartbeats: 0,
             epochs: Vec::new(),
-            company: RouterMembership::default(),
+            membership: RouterMembership::default(),
             lease_valid: 0.0,
             leases: 0,
             sessions: 0,
-            asked: 0,
+            requests: 0,
         }
     }
 
-    fn front(&self) -> RouterStatus {
+    fn status(&self) -> RouterStatus {
         RouterStatus {
             name: self.name.clone(),
-            region: self.place.1.clone(),
-            zone: self.place.0.clone(),
+            region: self.zone_and_region.1.clone(),
+            zone: self.zone_and_region.0.clone(),
             client_address: SocketAddr::new(self.source.ip(), 8680).to_string(),
             peer_address: self.source.to_string(),
-            epoch: self.following.view().epoch,
+            epoch: self.replica.view().epoch,
             age_ms: 0,
             is_draining: 0,
         }
     }
 
     /// Where to find a directory node, the nearest first, as a router has it.
-    fn ways(&self, settings: &Settings) -> Vec<SocketAddr> {
+    fn directory_addresses(&self, settings: &Settings) -> Vec<SocketAddr> {
         let mut ways: Vec<(u8, u32, SocketAddr)> = Vec::new();
-        for member in self.company.directory_nodes() {
+        for member in self.membership.directory_nodes() {
             let far = match () {
-                _ if member.zone == self.place.0 => 0,
-                _ if member.region == self.place.1 => 1,
+                _ if member.zone == self.zone_and_region.0 => 0,
+                _ if member.region == self.zone_and_region.1 => 1,
                 _ => 2,
             };
             ways.extend(
@@ -130,43 +130,43 @@
         ways.into_iter().map(|(_, _, at)| at).collect()
     }
 
-    fn note(&mut self) {
-        let epoch = self.following.view().epoch;
+    fn record_epoch(&mut self) {
+        let epoch = self.replica.view().epoch;
         if self.epochs.last().is_none_or(|(last, _)| *last < epoch) {
             self.epochs.push((epoch, clock()));
         }
     }
 
-    fn take(&mut self, frame: Frame) -> anyhow::Result<()> {
+    fn handle_frame(&mut self, frame: Frame) -> anyhow::Result<()> {
         match frame {
             Frame::Lease {
                 heartbeat: number,
                 epoch,
                 grants: shares,
             } => {
-                if let Some(until) = self.following.renew_lease(number, epoch) {
+                if let Some(until) = self.replica.renew_lease(number, epoch) {
                     self.lease_valid = clock();
                     self.leases += 1;
                     self.quota.apply_shares(number, until, &shares);
                 }
             }
             Frame::Snapshot { epoch, events } => {
-                self.following
+                self.replica
                     .apply_snapshot(epoch, &events)
                     .map_err(anyhow::Error::msg)?;
-                self.note();
+                self.record_epoch();
             }
             Frame::Change {
                 base_epoch: prior,
                 epoch,
                 events,
             } => {
-                self.following
+                self.replica
                     .apply_events(prior, epoch, &events)
                     .map_err(anyhow::Error::msg)?;
-                self.note();
+                self.record_epoch();
             }
-            Frame::RegistryUpdate(news) => self.company.apply(&news),
+            Frame::RegistryUpdate(news) => self.membership.apply(&news),
             Frame::Refused { text } => bail!("it refuses: {text}"),
             other => bail!("an unexpected frame: {other:?}"),
         }
@@ -176,37 +176,40 @@
 
 /// Jobs of the tenants that a router speaks of, another part of all at each
 /// router: at first one of each, so that it speaks of all from then on.
-fn ask(hollow: &mut Hollow, spoken: usize) {
-    let view = Arc::clone(hollow.following.view());
-    let (all, spoken) = (view.tenants.len(), spoken.min(view.tenants.len()));
-    if view.router_count == 0 || spoken == 0 {
+fn admit_requests(router: &mut SimulatedRouter, tenants_per_router: usize) {
+    let view = Arc::clone(router.replica.view());
+    let (all, tenants_per_router) = (
+        view.tenants.len(),
+        tenants_per_router.min(view.tenants.len()),
+    );
+    if view.router_count == 0 || tenants_per_router == 0 {
         return;
     }
-    let routers = hollow
-        .company
+    let routers = router
+        .membership
         .routers()
         .count()
         .max(view.router_count as usize);
-    let jobs = if hollow.asked == 0 {
-        spoken
+    let jobs = if router.requests == 0 {
+        tenants_per_router
     } else {
-        JOBS.min(spoken)
+        REQUESTS_PER_HEARTBEAT.min(tenants_per_router)
     };
     let terms: Vec<&residency::TenantLimits> = view.tenants.values().collect();
     for _ in 0..jobs {
-        let at = (hollow.number * 37 + hollow.asked % spoken) % all;
-        hollow.asked += 1;
+        let at = (router.number * 37 + router.requests % tenants_per_router) % all;
+        router.requests += 1;
         let of = (terms[at].requests_per_s, terms[at].burst);
-        let admitted = hollow
+        let admitted = router
             .quota
             .admit(&terms[at].tenant, of, routers, Duration::ZERO);
         // With taps it is answered at once; what the answer is does not matter.
-        drop(at_once(admitted));
+        drop(poll_once(admitted));
     }
 }
 
 /// What a future gives that is ready as soon as it is asked.
-fn at_once<F: std::future::Future>(future: F) -> Option<F::Output> {
+fn poll_once<F: std::future::Future>(future: F) -> Option<F::Output> {
     let mut future = std::pin::pin!(future);
     let mut context = std::task::Context::from_waker(std::task::Waker::noop());
     match future.as_mut().poll(&mut context) {
@@ -215,77 +218,77 @@
     }
 }
 
-async fn hold(
-    hollow: &Mutex<Hollow>,
+async fn run_session(
+    router: &Mutex<SimulatedRouter>,
     settings: &Settings,
     way: SocketAddr,
-    again: &mut watch::Receiver<u64>,
+    reconnect: &mut watch::Receiver<u64>,
 ) -> anyhow::Result<()> {
     let (source, name) = {
-        let mut hollow = hollow.lock();
-        hollow.following.begin_session();
-        hollow.sessions += 1;
-        (hollow.source, hollow.name.clone())
+        let mut router = router.lock();
+        router.replica.begin_session();
+        router.sessions += 1;
+        (router.source, router.name.clone())
     };
     let stream = link::dial(source, way, ConnectionKind::RouterSession, &name).await?;
     let (mut reader, mut writer) = stream.into_split();
     let beating = async {
-        let mut beat = tokio::time::interval(Duration::from_millis(BEAT_MS));
+        let mut beat = tokio::time::interval(Duration::from_millis(HEARTBEAT_MS));
         beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let begun = clock();
         loop {
             beat.tick().await;
             let frame = {
-                let mut hollow = hollow.lock();
-                let heard = hollow.lease_valid.max(begun);
+                let mut router = router.lock();
+                let heard = router.lease_valid.max(begun);
                 ensure!(
-                    clock() < heard + PATIENCE_MS as f64,
+                    clock() < heard + LEASE_TIMEOUT_MS as f64,
                     "no lease comes from it"
                 );
-                hollow.beats += 1;
-                let number = hollow.beats;
-                hollow.following.record_heartbeat(now(), number);
-                let demand = hollow.quota.lease_demands(&name, number);
+                router.heartbeats += 1;
+                let number = router.heartbeats;
+                router.replica.record_heartbeat(now(), number);
+                let demand = router.quota.lease_demands(&name, number);
                 Frame::Heartbeat {
-                    router: hollow.front(),
+                    router: router.status(),
                     demand,
                 }
             };
             tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(&mut writer, &frame))
                 .await??;
-            ask(&mut hollow.lock(), settings.spoken);
+            admit_requests(&mut router.lock(), settings.tenants_per_router);
         }
         #[allow(unreachable_code)]
         anyhow::Ok(())
     };
     let reading = async {
         while let Some(frame) = link::receive(&mut reader, protocol::MAX_FRAME_BYTES).await? {
-            hollow.lock().take(frame)?;
+            router.lock().handle_frame(frame)?;
         }
         bail!("it closed")
     };
     tokio::select! {
         done = beating => done,
         done = reading => done,
-        _ = again.changed() => Ok(()),
+        _ = reconnect.changed() => Ok(()),
     }
 }
 
-async fn live(
-    hollow: Arc<Mutex<Hollow>>,
+async fn run_router(
+    router: Arc<Mutex<SimulatedRouter>>,
     settings: Arc<Settings>,
-    mut again: watch::Receiver<u64>,
+    mut reconnect: watch::Receiver<u64>,
 ) {
     // Not all at the same moment of the beat.
-    tokio::time::sleep(Duration::from_millis(rand::random_range(0..BEAT_MS))).await;
+    tokio::time::sleep(Duration::from_millis(rand::random_range(0..HEARTBEAT_MS))).await;
     loop {
-        let ways = hollow.lock().ways(&settings);
+        let ways = router.lock().directory_addresses(&settings);
         for way in ways {
-            let before = hollow.lock().leases;
+            let before = router.lock().leases;
             // Why it ended is of no use here: the next way is tried in any case.
-            drop(hold(&hollow, &settings, way, &mut again).await);
+            drop(run_session(&router, &settings, way, &mut reconnect).await);
             // A session that served begins the search anew, the nearest first.
-            if hollow.lock().leases > before {
+            if router.lock().leases > before {
                 break;
             }
         }
@@ -296,24 +299,24 @@
 /// Runs them until the process is asked to stop, or whoever started it is gone.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     let settings = Arc::new(settings);
-    let (again, told) = watch::channel(0u64);
+    let (reconnect, told) = watch::channel(0u64);
     let range = settings.first..settings.first + settings.count;
-    let all: Vec<Arc<Mutex<Hollow>>> = range
-        .map(|number| Arc::new(Mutex::new(Hollow::new(&settings, number))))
+    let all: Vec<Arc<Mutex<SimulatedRouter>>> = range
+        .map(|number| Arc::new(Mutex::new(SimulatedRouter::new(&settings, number))))
         .collect();
-    for hollow in &all {
-        tokio::spawn(live(
-            Arc::clone(hollow),
+    for router in &all {
+        tokio::spawn(run_router(
+            Arc::clone(router),
             Arc::clone(&settings),
             told.clone(),
         ));
     }
     let known = all.clone();
     let handler: http_server::Handler = Arc::new(move |request| {
-        let response = answer(&known, &again, &request);
+        let response = answer(&known, &reconnect, &request);
         Box::pin(async move { response })
     });
-    let _desk = http_server::serve(settings.desk, 1 << 16, handler)?;
+    let _desk = http_server::serve(settings.operator_address, 1 << 16, handler)?;
     let parent = std::thread::spawn(|| {
         // Nothing is ever written there: it ends with whoever started this.
         drop(std::io::copy(&mut std::io::stdin(), &mut std::io::sink()));
@@ -330,8 +333,8 @@
 }
 
 fn answer(
-    all: &[Arc<Mutex<Hollow>>],
-    again: &watch::Sender<u64>,
+    all: &[Arc<Mutex<SimulatedRouter>>],
+    reconnect: &watch::Sender<u64>,
     request: &http_server::Request,
 ) -> http_server::Response {
     let number = |name: &str| {
@@ -340,22 +343,23 @@
     match (request.method().as_str(), request.uri().path()) {
         ("GET", "/traffic") => http_server::json(200, &telemetry::traffic::to_json()),
         ("GET", "/figures") => {
-            let (mut lease_valid, mut sessions, mut leases, mut beats) = (0u64, 0u64, 0u64, 0u64);
+            let (mut lease_valid, mut sessions, mut leases, mut heartbeats) =
+                (0u64, 0u64, 0u64, 0u64);
             let (mut lowest, mut known, mut engines) = (u64::MAX, u64::MAX, u64::MAX);
-            for hollow in all {
-                let hollow = hollow.lock();
-                lease_valid += u64::from(now() < hollow.following.lease_expires_at());
-                sessions += hollow.sessions;
-                leases += hollow.leases;
-                beats += hollow.beats;
-                let view = hollow.following.view();
+            for router in all {
+                let router = router.lock();
+                lease_valid += u64::from(now() < router.replica.lease_expires_at());
+                sessions += router.sessions;
+                leases += router.leases;
+                heartbeats += router.heartbeats;
+                let view = router.replica.view();
                 lowest = lowest.min(view.epoch);
-                known = known.min(hollow.company.routers().count() as u64);
+                known = known.min(router.membership.routers().count() as u64);
                 engines = engines.min(view.engines.len() as u64);
             }
             let value = json!({
                 "routers": all.len() as u64, "lease_valid": lease_valid, "sessions": sessions,
-                "leases": leases, "beats": beats, "lowest_epoch": lowest,
+                "leases": leases, "beats": heartbeats, "lowest_epoch": lowest,
                 "fewest_known": known, "fewest_engines": engines,
             });
             http_server::json(200, &value)
@@ -363,10 +367,10 @@
         // How many have this epoch, and since when the last of them.
         ("GET", "/since") => {
             let epoch: u64 = number("epoch").unwrap_or(0);
-            let since = |hollow: &Arc<Mutex<Hollow>>| {
-                let hollow = hollow.lock();
-                let at = hollow.epochs.partition_point(|(known, _)| *known < epoch);
-                hollow.epochs.get(at).map(|(_, at)| *at)
+            let since = |router: &Arc<Mutex<SimulatedRouter>>| {
+                let router = router.lock();
+                let at = router.epochs.partition_point(|(known, _)| *known < epoch);
+                router.epochs.get(at).map(|(_, at)| *at)
             };
             let times: Vec<f64> = all.iter().filter_map(since).collect();
             let last = times.iter().copied().fold(0.0, f64::max);
@@ -377,13 +381,13 @@
             let after = http_server::query_parameter(request.uri(), "after")
                 .and_then(|text| text.parse().ok());
             let after: f64 = after.unwrap_or(0.0);
-            let times: Vec<f64> = all.iter().map(|hollow| hollow.lock().lease_valid).collect();
+            let times: Vec<f64> = all.iter().map(|router| router.lock().lease_valid).collect();
             let there = times.iter().filter(|at| **at > after).count() as u64;
             http_server::json(200, &json!({ "there": there }))
         }
         // All sessions end at once, and begin again.
         ("POST", "/again") => {
-            again.send_modify(|count| *count += 1);
+            reconnect.send_modify(|count| *count += 1);
             http_server::json(200, &json!({}))
         }
         (_, path) => http_server::json(404, &json!({ "text": format!("there is no {path}") })),
--- a/testbed/src/day.rs
+++ b/testbed/src/workload.rs
@@ -50,16 +50,16 @@
 
 /// One line of a day.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Moment {
+pub struct TimedAction {
     pub at_ms: u64,
-    pub what: What,
+    pub action: Action,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum What {
-    Job(Job),
+pub enum Action {
+    Request(RecordedRequest),
     /// A proposal, as the operators' API takes it.
-    Operator(OwnedValue),
+    OperatorChange(OwnedValue),
     /// Something done to a machine; only in a fleet of the replay's own.
     Machine {
         action: String,
@@ -70,7 +70,7 @@
 /// A caller's job. `@tenant` in target, headers and body stands for the
 /// tenant's key.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Job {
+pub struct RecordedRequest {
     pub zone: String,
     pub tenant: String,
     pub service: String,
@@ -80,7 +80,7 @@
     pub body: Option<OwnedValue>,
     /// The number of the prompt's beginning, and its whole length.
     pub prompt: Option<(u64, u64)>,
-    pub is_once: bool,
+    pub must_not_repeat: bool,
 }
 
 const ACTIONS: [&str; 11] = [
@@ -89,8 +89,8 @@
 ];
 
 /// Reads a day. Every bad line is said, with its number.
-pub fn parse(text: &str) -> Result<Vec<Moment>, Vec<String>> {
-    let mut moments: Vec<Moment> = Vec::new();
+pub fn parse(text: &str) -> Result<Vec<TimedAction>, Vec<String>> {
+    let mut moments: Vec<TimedAction> = Vec::new();
     let mut complaints = Vec::new();
     for (at, line) in text.lines().enumerate() {
         if line.trim().is_empty() {
@@ -110,7 +110,7 @@
     }
 }
 
-fn moment(line: &str) -> Result<Moment, String> {
+fn moment(line: &str) -> Result<TimedAction, String> {
     // Each line is read by itself; the place within it is its column.
     let value = residency::parse_json(line)
         .map_err(|error| format!("column {}: {}", error.column, error.reason))?;
@@ -137,9 +137,9 @@
         if operator.get("do").and_then(|v| v.as_str()).is_none() {
             return Err("operator.do: a text should stand here".into());
         }
-        return Ok(Moment {
+        return Ok(TimedAction {
             at_ms,
-            what: What::Operator(operator.clone()),
+            action: Action::OperatorChange(operator.clone()),
         });
     }
     if value.get("machine").is_some() {
@@ -150,9 +150,9 @@
                 ACTIONS.join(", ")
             ));
         }
-        return Ok(Moment {
+        return Ok(TimedAction {
             at_ms,
-            what: What::Machine { action, name },
+            action: Action::Machine { action, name },
         });
     }
     let mut headers = BTreeMap::new();
@@ -189,9 +189,9 @@
     if body.as_ref().is_some_and(|body| body.as_object().is_none()) {
         return Err("body: an object should stand here".into());
     }
-    Ok(Moment {
+    Ok(TimedAction {
         at_ms,
-        what: What::Job(Job {
+        action: Action::Request(RecordedRequest {
             zone: text("zone")?,
             tenant: text("tenant")?,
             service: text("service")?,
@@ -200,26 +200,28 @@
             headers,
             body,
             prompt,
-            is_once: value.get("once").and_then(|v| v.as_bool()).unwrap_or(true),
+            must_not_repeat: value.get("once").and_then(|v| v.as_bool()).unwrap_or(true),
         }),
     })
 }
 
-impl Moment {
+impl TimedAction {
     pub fn line(&self) -> String {
-        let value = match &self.what {
-            What::Operator(operator) => json!({ "at": self.at_ms, "operator": operator.clone() }),
-            What::Machine { action, name } => {
+        let value = match &self.action {
+            Action::OperatorChange(operator) => {
+                json!({ "at": self.at_ms, "operator": operator.clone() })
+            }
+            Action::Machine { action, name } => {
                 json!({ "at": self.at_ms, "machine": action.clone(), "name": name.clone() })
             }
-            What::Job(job) => {
+            Action::Request(request) => {
                 let mut value = json!({
-                    "at": self.at_ms, "zone": job.zone.clone(), "tenant": job.tenant.clone(),
-                    "service": job.service.clone(), "method": job.method.clone(),
-                    "target": job.target.clone(), "once": job.is_once,
+                    "at": self.at_ms, "zone": request.zone.clone(), "tenant": request.tenant.clone(),
+                    "service": request.service.clone(), "method": request.method.clone(),
+                    "target": request.target.clone(), "once": request.must_not_repeat,
                 });
                 let mut headers = simd_json::owned::Object::default();
-                for (name, header) in &job.headers {
+                for (name, header) in &request.headers {
                     headers.insert(name.clone(), header.clone().into());
                 }
                 let mut put = |name: &str, part: OwnedValue| {
@@ -228,10 +230,10 @@
                 if !headers.is_empty() {
                     put("headers", headers.into());
                 }
-                if let Some(body) = &job.body {
+                if let Some(body) = &request.body {
                     put("body", body.clone());
                 }
-                if let Some((beginning, length)) = job.prompt {
+                if let Some((beginning, length)) = request.prompt {
                     put("prompt", vec![beginning, length].into());
                 }
                 value
@@ -241,7 +243,7 @@
     }
 }
 
-impl Job {
+impl RecordedRequest {
     /// The body as sent. The prompt's first 256 characters come from its
     /// beginning's number alone, the rest also from `salt`.
     pub fn bytes(&self, key: &str, salt: u64) -> Vec<u8> {
@@ -273,7 +275,7 @@
     seconds: u64,
     scale: f64,
     seed: u64,
-) -> anyhow::Result<Vec<Moment>> {
+) -> anyhow::Result<Vec<TimedAction>> {
     let value = residency::parse_json(shape).map_err(|text| anyhow::anyhow!(text))?;
     let missing = |name: &str| anyhow::anyhow!("{name}: it is missing or not what it should be");
     let mut random = XorShift64::from_seed(seed);
@@ -452,11 +454,11 @@
     #[test]
     fn a_made_day_reads_back_and_is_the_same_for_the_same_seed() {
         for shape in [
-            include_str!("../shapes/haatbari.json"),
-            include_str!("../shapes/turnos.json"),
+            include_str!("../deployments/haatbari.json"),
+            include_str!("../deployments/turnos.json"),
         ] {
             let day = make(shape, None, 5, 1.0, 7).expect("the sample shapes have a mix");
-            let text: Vec<String> = day.iter().map(Moment::line).collect();
+            let text: Vec<String> = day.iter().map(TimedAction::line).collect();
             assert!(day.len() > 50);
             assert_eq!(parse(&text.join("\n")).as_ref(), Ok(&day));
             assert_eq!(make(shape, None, 5, 1.0, 7).ok(), Some(day));
--- a/testbed/tests/children.rs
+++ b/testbed/tests/child_process.rs
@@ -2,14 +2,14 @@
 
 use std::io::{Read, Write};
 use std::process::{Command, Stdio};
-use testbed::children;
+use testbed::child_process;
 
 #[test]
 fn a_child_outlives_the_thread_that_started_it() {
     let start = || {
         let mut command = Command::new("cat");
         command.stdin(Stdio::piped()).stdout(Stdio::piped());
-        children::spawn(command).expect("it starts")
+        child_process::spawn(command).expect("it starts")
     };
     let mut child = std::thread::spawn(start)
         .join()
@@ -30,6 +30,6 @@
 
 #[test]
 fn a_program_that_does_not_exist_is_an_error() {
-    let error = children::spawn(Command::new("/nowhere/at-all")).expect_err("it can't start");
+    let error = child_process::spawn(Command::new("/nowhere/at-all")).expect_err("it can't start");
     assert_eq!(error.kind(), std::io::ErrorKind::NotFound);
 }
--- a/testbed/tests/commands.rs
+++ b/testbed/tests/commands.rs
@@ -6,7 +6,7 @@
 use common::*;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
-use testbed::fleet::{program, Kind};
+use testbed::fleet::{program, ProcessKind};
 
 fn run(name: &str, args: &[&str], input: &str) -> Output {
     let mut child = Command::new(program(name).expect("it is built"))
@@ -80,7 +80,7 @@
             event("w5", "SUMMARY:drain engine-1\r\nDTSTART;VALUE=DATE:20360105\r\nDTEND;VALUE=DATE:20360106"),
         ]),
     );
-    let shape = concat!(env!("CARGO_MANIFEST_DIR"), "/shapes/haatbari.json");
+    let shape = concat!(env!("CARGO_MANIFEST_DIR"), "/deployments/haatbari.json");
     let melting = r#"[{"name":"x","events":[{"share":0.1,"machine":"melt","name":"router-1"}]}]"#;
     let melting = file("melting.json", melting);
     let drawn = |seeds: &'static str| {
@@ -295,7 +295,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_changes_things_and_sees_them_in_force() {
     let (folder, fleet) = up("operator").await;
-    let desks: Vec<String> = fleet.desks().iter().map(|desk| desk.to_string()).collect();
+    let desks: Vec<String> = fleet
+        .operator_addresses()
+        .iter()
+        .map(|desk| desk.to_string())
+        .collect();
     let desks = desks.join(",");
     let operator = |args: &[&str], input: &str| {
         let mut all = vec!["--desk", &desks];
@@ -306,7 +310,7 @@
     let part = folder.0.join("part.json");
     std::fs::write(&part, r#"{"tenants":{"cleo":{"homes":["north"]}}}"#).expect("written");
     let part = part.display().to_string();
-    let door = fleet.get("router-2").door();
+    let door = fleet.get("router-2").client_address();
 
     let cases: Vec<(Vec<&str>, &str, i32, Vec<&str>)> = vec![
         (vec!["found"], "", 1, vec!["founded-already (409)"]),
@@ -429,7 +433,7 @@
     assert_eq!(code, Some(0), "{found}");
     for is_shut in [true, false] {
         let patience = std::time::Duration::from_secs(30);
-        testbed::fleet::wait(patience, "the window's turn", async || {
+        testbed::fleet::wait_until(patience, "the window's turn", async || {
             let (_, found) = operator(&["status"], "");
             anyhow::ensure!(found.contains("evacuated: west-a") == is_shut, "{found}");
             anyhow::ensure!(found.contains("window") == is_shut, "{found}");
@@ -451,7 +455,12 @@
     );
     // A key that is moving is never fresh: each of its jobs reaches a
     // directory node, until the move is settled.
-    let forwards = async || fleet.count(Kind::Router, "forwards").await.expect("told");
+    let forwards = async || {
+        fleet
+            .count(ProcessKind::Router, "forwards")
+            .await
+            .expect("told")
+    };
     let before = forwards().await;
     for n in 0..3 {
         let (engine, _) = whole(door, &prompt(&format!("m-{n}"), "ben-key-0002", "x")).await;
--- a/testbed/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use testbed::caller::{call, Call, Seen};
-use testbed::fleet::{wait, Fleet, Kind, Shape};
+use testbed::client::{send_request, ClientOutcome, ClientRequest};
+use testbed::fleet::{wait_until, DeploymentSpec, Fleet, ProcessKind};
 
 pub const SHAPE: &str = r#"{
   "name": "small",
@@ -53,8 +53,8 @@
     }
 }
 
-pub fn prompt(id: &str, key: &str, text: &str) -> Call {
-    Call {
+pub fn prompt(id: &str, key: &str, text: &str) -> ClientRequest {
+    ClientRequest {
         id: id.into(),
         method: "POST".into(),
         target: "/app/write".into(),
@@ -66,9 +66,9 @@
     }
 }
 
-pub async fn whole(door: SocketAddr, job: &Call) -> (String, bool) {
-    match call(door, job, Duration::from_secs(20)).await {
-        Seen::Whole {
+pub async fn whole(door: SocketAddr, job: &ClientRequest) -> (String, bool) {
+    match send_request(door, job, Duration::from_secs(20)).await {
+        ClientOutcome::Complete {
             engine, is_warm, ..
         } => (engine, is_warm),
         other => panic!("{}: {other:?}", job.id),
@@ -77,26 +77,26 @@
 
 pub async fn up(name: &str) -> (Folder, Fleet) {
     let folder = Folder::new(name);
-    let shape = Shape::parse(SHAPE).expect("the shape reads");
-    let mut fleet = Fleet::lay(shape, &folder.0).expect("a fleet is laid out");
-    fleet.up().await.expect("the fleet comes up");
+    let shape = DeploymentSpec::parse(SHAPE).expect("the shape reads");
+    let mut fleet = Fleet::new(shape, &folder.0).expect("a fleet is laid out");
+    fleet.bootstrap().await.expect("the fleet comes up");
     (folder, fleet)
 }
 
 /// The same, with a relay before every process, so that links can be cut.
 pub async fn up_with_relays(name: &str) -> (Folder, Fleet) {
     let folder = Folder::new(name);
-    let shape = Shape::parse(SHAPE).expect("the shape reads");
-    let mut fleet = Fleet::lay(shape, &folder.0).expect("a fleet is laid out");
+    let shape = DeploymentSpec::parse(SHAPE).expect("the shape reads");
+    let mut fleet = Fleet::new(shape, &folder.0).expect("a fleet is laid out");
     fleet.relay().await.expect("the relays listen");
-    fleet.up().await.expect("the fleet comes up");
+    fleet.bootstrap().await.expect("the fleet comes up");
     (folder, fleet)
 }
 
 /// A refusal's status, outcome and code.
-pub async fn refused(door: SocketAddr, job: &Call) -> (u16, String, String) {
-    match call(door, job, Duration::from_secs(20)).await {
-        Seen::Refused {
+pub async fn refused(door: SocketAddr, job: &ClientRequest) -> (u16, String, String) {
+    match send_request(door, job, Duration::from_secs(20)).await {
+        ClientOutcome::Rejected {
             status,
             outcome,
             code,
@@ -113,7 +113,7 @@
 /// The events that the engines wrote of one job, in the order of their times.
 pub fn events_of(fleet: &Fleet, job: &str) -> Vec<String> {
     let mut events = Vec::new();
-    for engine in fleet.of(Kind::Engine) {
+    for engine in fleet.of(ProcessKind::Engine) {
         let path = fleet.journals().join(format!("{}.jsonl", engine.name));
         for line in testbed::journal::read(&path).expect("a journal reads") {
             let text = |name: &str| {
@@ -138,12 +138,12 @@
 /// Sends one job after another until one is answered whole.
 pub async fn served(door: SocketAddr, key: &str, mark: &str) {
     let mut round = 0;
-    wait(PATIENCE, "service", async || {
+    wait_until(PATIENCE, "service", async || {
         round += 1;
         let job = prompt(&format!("{mark}-{round}"), key, "once upon a time");
-        match call(door, &job, Duration::from_secs(10)).await {
-            Seen::Whole { .. } => Ok(()),
-            Seen::Wrong(text) => panic!("{text}"),
+        match send_request(door, &job, Duration::from_secs(10)).await {
+            ClientOutcome::Complete { .. } => Ok(()),
+            ClientOutcome::Corrupt(text) => panic!("{text}"),
             other => anyhow::bail!("{other:?}"),
         }
     })
@@ -154,11 +154,15 @@
 /// Sends one job after another until one is refused not-run with this code.
 pub async fn is_refused(door: SocketAddr, key: &str, mark: &str, wanted: &str) {
     let mut round = 0;
-    wait(PATIENCE, "a refusal", async || {
+    wait_until(PATIENCE, "a refusal", async || {
         round += 1;
         let job = prompt(&format!("{mark}-{round}"), key, "once upon a time");
-        match call(door, &job, Duration::from_secs(10)).await {
-            Seen::Refused { code, outcome, .. } if code == wanted && outcome == "not-run" => Ok(()),
+        match send_request(door, &job, Duration::from_secs(10)).await {
+            ClientOutcome::Rejected { code, outcome, .. }
+                if code == wanted && outcome == "not-run" =>
+            {
+                Ok(())
+            }
             other => anyhow::bail!("{other:?}"),
         }
     })
@@ -168,7 +172,7 @@
 
 /// Waits until an engine has written this of a job.
 pub async fn noted(fleet: &Fleet, job: &str, beginning: &str) {
-    wait(PATIENCE, beginning, async || {
+    wait_until(PATIENCE, beginning, async || {
         let events = events_of(fleet, job);
         anyhow::ensure!(
             events.iter().any(|event| event.starts_with(beginning)),
--- a/testbed/tests/gate.rs
+++ b/testbed/tests/dispatch_guard.rs
@@ -197,7 +197,7 @@
             };
             let mapping = mapping();
             let patience = std::time::Duration::from_secs(30);
-            testbed::fleet::wait(patience, "vitals", async || {
+            testbed::fleet::wait_until(patience, "vitals", async || {
                 let value = engine_tracker.to_json(0.8).encode();
                 anyhow::ensure!(value.contains("\"running\":0"), "{value}");
                 Ok(())
@@ -262,7 +262,7 @@
         tokio::spawn(Arc::clone(engine_tracker).run(view_out.clone()));
     }
     let patience = std::time::Duration::from_secs(30);
-    testbed::fleet::wait(patience, "a place", async || {
+    testbed::fleet::wait_until(patience, "a place", async || {
         let view = views.borrow().clone();
         let prompt = Default::default();
         let wanted = placement::SelectionRequest {
--- a/testbed/tests/failures.rs
+++ b/testbed/tests/failures.rs
@@ -10,14 +10,14 @@
 use simd_json::OwnedValue;
 use std::net::SocketAddr;
 use std::time::Duration;
-use testbed::caller::{call, Seen};
-use testbed::fleet::{ask, wait, Fleet, Kind};
+use testbed::client::{send_request, ClientOutcome};
+use testbed::fleet::{operator_request, wait_until, Fleet, ProcessKind};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 const ANA: &str = "ana-key-0001";
 
 async fn voters(fleet: &Fleet, at: SocketAddr) -> anyhow::Result<Vec<(String, String)>> {
-    let status = ask(at, "GET", "/status", &OwnedValue::null()).await?;
+    let status = operator_request(at, "GET", "/status", &OwnedValue::null()).await?;
     let text = |value: &OwnedValue, name: &str| {
         value
             .get(name)
@@ -31,7 +31,7 @@
         .cloned()
         .unwrap_or_default();
     anyhow::ensure!(
-        members.len() <= fleet.of(Kind::Directory).len(),
+        members.len() <= fleet.of(ProcessKind::Directory).len(),
         "one too many"
     );
     let is_voter = |member: &&OwnedValue| text(member, "kind") == "voter";
@@ -47,7 +47,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leader_and_then_all_nodes_are_killed() {
     let (_folder, mut fleet) = up("killed").await;
-    let door = fleet.get("router-1").door();
+    let door = fleet.get("router-1").client_address();
     served(door, ANA, "before").await;
     let leader = fleet.leader().await.expect("somebody leads");
     let evacuate = json!({ "do": "evacuate", "zone": "south-a", "id": "evacuation" });
@@ -61,7 +61,7 @@
     served(door, ANA, "led-anew").await;
 
     let nodes: Vec<String> = fleet
-        .of(Kind::Directory)
+        .of(ProcessKind::Directory)
         .iter()
         .map(|n| n.name.clone())
         .collect();
@@ -73,9 +73,14 @@
         .for_each(|node| fleet.start(node).expect("it starts"));
     served(door, ANA, "back").await;
     assert_eq!(fleet.submit(evacuate).await.expect("still known"), epoch);
-    let status = ask(fleet.desks()[0], "GET", "/status", &OwnedValue::null())
-        .await
-        .expect("told");
+    let status = operator_request(
+        fleet.operator_addresses()[0],
+        "GET",
+        "/status",
+        &OwnedValue::null(),
+    )
+    .await
+    .expect("told");
     let evacuated = status.get("evacuated").map(|list| list.encode());
     assert_eq!(evacuated.as_deref(), Some(r#"["south-a"]"#));
 }
@@ -87,7 +92,7 @@
     let (_folder, mut fleet) = up("disk").await;
     let leader = fleet.leader().await.expect("somebody leads");
     let names: Vec<String> = fleet
-        .of(Kind::Directory)
+        .of(ProcessKind::Directory)
         .iter()
         .map(|n| n.name.clone())
         .collect();
@@ -96,12 +101,12 @@
         .find(|name| **name != leader)
         .expect("three nodes")
         .clone();
-    let desk = fleet.get(&leader).desk();
+    let desk = fleet.get(&leader).operator_address();
     let before = voters(&fleet, desk).await.expect("told");
     fleet.kill(&lost);
-    fleet.wipe(&lost).expect("its folder goes");
+    fleet.delete_data(&lost).expect("its folder goes");
     fleet.start(&lost).expect("it starts");
-    wait(PATIENCE, "the new voter", async || {
+    wait_until(PATIENCE, "the new voter", async || {
         let after = voters(&fleet, desk).await?;
         anyhow::ensure!(after.len() == 3 && after != before, "{after:?}");
         Ok(())
@@ -122,9 +127,9 @@
 
     let others: Vec<&String> = names.iter().filter(|name| **name != lost).collect();
     others.iter().for_each(|name| fleet.kill(name));
-    let alone = fleet.get(&lost).desk();
+    let alone = fleet.get(&lost).operator_address();
     let change = json!({ "do": "evacuate", "zone": "south-a", "id": "minority" });
-    let error = ask(alone, "POST", "/submit", &change)
+    let error = operator_request(alone, "POST", "/submit", &change)
         .await
         .expect_err("a minority refuses");
     assert!(error.to_string().contains("503"), "{error}");
@@ -133,7 +138,7 @@
         .iter()
         .for_each(|name| fleet.start(name).expect("it starts"));
     fleet.submit(change).await.expect("a majority takes it");
-    served(fleet.get("router-1").door(), ANA, "after").await;
+    served(fleet.get("router-1").client_address(), ANA, "after").await;
 }
 
 /// Guards: an acknowledged change is on a majority's disks. A leader whose disk
@@ -143,7 +148,7 @@
 async fn the_leaders_disk_fails() {
     let (_folder, mut fleet) = up("broken-disk").await;
     let leader = fleet.leader().await.expect("somebody leads");
-    let desk = fleet.get(&leader).desk();
+    let desk = fleet.get(&leader).operator_address();
     let log = fleet.folder.join("data").join(&leader).join("log");
     let aside = fleet.folder.join("aside");
     std::fs::rename(&log, &aside).expect("its log goes");
@@ -152,27 +157,27 @@
         .submit(change.clone())
         .await
         .expect("the others take it");
-    wait(PATIENCE, "another leader", async || {
+    wait_until(PATIENCE, "another leader", async || {
         let now = fleet.leader().await?;
         anyhow::ensure!(now != leader, "{now} still leads");
         Ok(())
     })
     .await
     .expect("it steps down");
-    let error = ask(desk, "GET", "/vitals", &OwnedValue::null())
+    let error = operator_request(desk, "GET", "/vitals", &OwnedValue::null())
         .await
         .expect_err("it is not well");
     assert!(
         error.to_string().contains("\"disk_stalled\":true"),
         "{error}"
     );
-    served(fleet.get("router-1").door(), ANA, "meanwhile").await;
+    served(fleet.get("router-1").client_address(), ANA, "meanwhile").await;
 
     fleet.kill(&leader);
     std::fs::rename(&aside, &log).expect("its log comes back");
     fleet.start(&leader).expect("it starts");
-    wait(PATIENCE, "its return", async || {
-        let vitals = ask(desk, "GET", "/vitals", &OwnedValue::null()).await?;
+    wait_until(PATIENCE, "its return", async || {
+        let vitals = operator_request(desk, "GET", "/vitals", &OwnedValue::null()).await?;
         let at = vitals.get("epoch").and_then(|v| v.as_u64());
         anyhow::ensure!(at >= Some(epoch), "it has {at:?}");
         Ok(())
@@ -188,7 +193,7 @@
     let (folder, mut fleet) = up("damage").await;
     let leader = fleet.leader().await.expect("somebody leads");
     let node = fleet
-        .of(Kind::Directory)
+        .of(ProcessKind::Directory)
         .iter()
         .map(|n| n.name.clone())
         .find(|n| *n != leader);
@@ -204,7 +209,7 @@
     std::fs::write(&path, bytes).expect("it is damaged");
     fleet.start(&node).expect("it starts");
     let words = folder.0.join("logs").join(format!("{node}.log"));
-    wait(PATIENCE, "its words", async || {
+    wait_until(PATIENCE, "its words", async || {
         let text = std::fs::read_to_string(&words)?;
         let has_said = text
             .contains("segment-000000000001 at byte 6: a record's checksum is wrong")
@@ -216,10 +221,10 @@
     .expect("it says what is wrong and ends");
     // The way back: the folder aside, and it joins as a new node.
     fleet.kill(&node);
-    fleet.wipe(&node).expect("its folder goes");
+    fleet.delete_data(&node).expect("its folder goes");
     fleet.start(&node).expect("it starts");
-    let desk = fleet.get(&leader).desk();
-    wait(PATIENCE, "the new voter", async || {
+    let desk = fleet.get(&leader).operator_address();
+    wait_until(PATIENCE, "the new voter", async || {
         anyhow::ensure!(voters(&fleet, desk).await?.len() == 3, "not yet");
         Ok(())
     })
@@ -232,7 +237,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_freezes_and_wakes_to_a_key_that_is_gone() {
     let (_folder, fleet) = up("frozen").await;
-    let door = fleet.get("router-1").door();
+    let door = fleet.get("router-1").client_address();
     served(door, ANA, "before").await;
     fleet
         .signal("router-1", Signal::SIGSTOP)
@@ -240,14 +245,20 @@
     // A job waits in the frozen router's socket.
     let waiting = tokio::spawn(async move {
         let job = prompt("late", "ana-key-0001", "once upon a time");
-        call(door, &job, Duration::from_secs(60)).await
+        send_request(door, &job, Duration::from_secs(60)).await
     });
     fleet
         .submit(json!({ "do": "key-gone", "key": "ana-key-0001" }))
         .await
         .expect("taken");
-    wait(PATIENCE, "its absence", async || {
-        let status = ask(fleet.desks()[0], "GET", "/status", &OwnedValue::null()).await?;
+    wait_until(PATIENCE, "its absence", async || {
+        let status = operator_request(
+            fleet.operator_addresses()[0],
+            "GET",
+            "/status",
+            &OwnedValue::null(),
+        )
+        .await?;
         anyhow::ensure!(!status.encode().contains("router-1"), "it is still counted");
         Ok(())
     })
@@ -256,7 +267,7 @@
     fleet.signal("router-1", Signal::SIGCONT).expect("it wakes");
     let seen = waiting.await.expect("the caller ends");
     assert!(
-        matches!(&seen, Seen::Refused { outcome, .. } if outcome == "not-run"),
+        matches!(&seen, ClientOutcome::Rejected { outcome, .. } if outcome == "not-run"),
         "{seen:?}"
     );
     assert!(
@@ -271,7 +282,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_die_within_answers_and_callers_leave() {
     let (_folder, mut fleet) = up("engines").await;
-    let door = fleet.get("router-1").door();
+    let door = fleet.get("router-1").client_address();
     // Slow engines in place of the quick ones.
     for name in ["engine-1", "engine-2"] {
         fleet.kill(name);
@@ -280,15 +291,16 @@
     }
     served(door, ANA, "before").await;
     let job = prompt("broken", "ana-key-0001", "a long story");
-    let caller = tokio::spawn(async move { call(door, &job, Duration::from_secs(30)).await });
+    let caller =
+        tokio::spawn(async move { send_request(door, &job, Duration::from_secs(30)).await });
     noted(&fleet, "broken", "begun").await;
     for name in ["engine-1", "engine-2"] {
         fleet.kill(name);
     }
     let seen = caller.await.expect("the caller ends");
     let is_visible = match &seen {
-        Seen::Broken | Seen::Lost(_) => true,
-        Seen::Refused { outcome, .. } => outcome == "unknown",
+        ClientOutcome::Truncated | ClientOutcome::NoResponse(_) => true,
+        ClientOutcome::Rejected { outcome, .. } => outcome == "unknown",
         _ => false,
     };
     assert!(is_visible, "{seen:?}");
@@ -311,12 +323,15 @@
     let job = prompt("again", "ana-key-0001", "a long story");
     let first = {
         let job = prompt("again", "ana-key-0001", "a long story");
-        tokio::spawn(async move { call(door, &job, Duration::from_secs(30)).await })
+        tokio::spawn(async move { send_request(door, &job, Duration::from_secs(30)).await })
     };
     noted(&fleet, "again", "begun").await;
     let unknown = (409, "unknown".to_string(), "job-under-way".to_string());
     assert_eq!(refused(door, &job).await, unknown);
-    assert!(matches!(first.await.expect("it ends"), Seen::Whole { .. }));
+    assert!(matches!(
+        first.await.expect("it ends"),
+        ClientOutcome::Complete { .. }
+    ));
     assert_eq!(
         events_of(&fleet, "again")
             .iter()
@@ -326,7 +341,8 @@
     );
 
     let job = prompt("left", "ana-key-0001", "a long story");
-    let leaving = tokio::spawn(async move { call(door, &job, Duration::from_secs(30)).await });
+    let leaving =
+        tokio::spawn(async move { send_request(door, &job, Duration::from_secs(30)).await });
     noted(&fleet, "left", "begun").await;
     leaving.abort();
     noted(&fleet, "left", "cancelled").await;
@@ -373,7 +389,11 @@
             }
         }
     }
-    for to in [router.door(), node.desk(), router.desk()] {
+    for to in [
+        router.client_address(),
+        node.operator_address(),
+        router.operator_address(),
+    ] {
         let mut stream = tokio::net::TcpStream::connect(to)
             .await
             .expect("it listens");
@@ -388,7 +408,7 @@
                 .expect("closed"),
         );
     }
-    served(router.door(), ANA, "after").await;
+    served(router.client_address(), ANA, "after").await;
 }
 
 /// Guards: a revision that takes a key away holds also for a caller that was
@@ -396,7 +416,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_is_taken_from_a_caller_that_is_still_sending() {
     let (_folder, fleet) = up("key").await;
-    let door = fleet.get("router-1").door();
+    let door = fleet.get("router-1").client_address();
     served(door, ANA, "before").await;
     let mut stream = tokio::net::TcpStream::connect(door)
         .await
@@ -404,9 +424,9 @@
     let head = "POST /app/write HTTP/1.1\r\nhost: x\r\nx-rushport-job: slow\r\n\
                 x-tenant-key: ana-key-0001\r\nx-model: writer\r\ncontent-length: 19\r\n\r\n{\"prompt\"";
     stream.write_all(head.as_bytes()).await.expect("it is sent");
-    wait(PATIENCE, "the job", async || {
-        let vitals = ask(
-            fleet.get("router-1").desk(),
+    wait_until(PATIENCE, "the job", async || {
+        let vitals = operator_request(
+            fleet.get("router-1").operator_address(),
             "GET",
             "/vitals",
             &OwnedValue::null(),
@@ -439,16 +459,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_is_asked_to_stop_finishes_its_streams() {
     let (_folder, mut fleet) = up("stop").await;
-    let door = fleet.get("router-1").door();
+    let door = fleet.get("router-1").client_address();
     served(door, ANA, "before").await;
     let job = prompt("running", "ana-key-0001", "once upon a time");
-    let caller = tokio::spawn(async move { call(door, &job, Duration::from_secs(30)).await });
+    let caller =
+        tokio::spawn(async move { send_request(door, &job, Duration::from_secs(30)).await });
     noted(&fleet, "running", "begun").await;
     let status = fleet.stop("router-1").expect("it stops");
     assert!(status.success(), "{status}");
     let seen = caller.await.expect("the caller ends");
-    assert!(matches!(seen, Seen::Whole { .. }), "{seen:?}");
+    assert!(matches!(seen, ClientOutcome::Complete { .. }), "{seen:?}");
     let status = fleet.stop("directory-1").expect("it stops");
     assert!(status.success(), "{status}");
-    served(fleet.get("router-2").door(), ANA, "after").await;
+    served(fleet.get("router-2").client_address(), ANA, "after").await;
 }
--- a/testbed/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -6,24 +6,24 @@
 use simd_json::prelude::*;
 use simd_json::{json, OwnedValue};
 use std::time::Duration;
-use testbed::caller::{call, Call, Seen};
-use testbed::fleet::{ask, wait, Fleet, Kind, Shape};
+use testbed::client::{send_request, ClientOutcome, ClientRequest};
+use testbed::fleet::{operator_request, wait_until, DeploymentSpec, Fleet, ProcessKind};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_miss_goes_through_the_directory_and_a_fresh_hit_does_not() {
     let (_folder, fleet) = up("path").await;
-    let door = fleet.get("router-1").door();
+    let door = fleet.get("router-1").client_address();
     let count = async |kind, name: &str| fleet.count(kind, name).await.expect("counters are told");
 
     let (first, _) = whole(door, &prompt("j-1", "ana-key-0001", "once upon a time")).await;
     assert_eq!(
-        count(Kind::Router, "forwards").await,
+        count(ProcessKind::Router, "forwards").await,
         1,
         "the first is a miss"
     );
-    assert_eq!(count(Kind::Directory, "jobs-forwarded").await, 1);
-    let resolves = count(Kind::Directory, "resolves").await;
+    assert_eq!(count(ProcessKind::Directory, "jobs-forwarded").await, 1);
+    let resolves = count(ProcessKind::Directory, "resolves").await;
     for n in 2..12 {
         let job = prompt(&format!("j-{n}"), "ana-key-0001", "once upon a time");
         let (engine, is_warm) = whole(door, &job).await;
@@ -31,17 +31,17 @@
         assert!(is_warm);
     }
     assert_eq!(
-        count(Kind::Router, "own-fresh").await,
+        count(ProcessKind::Router, "own-fresh").await,
         10,
         "the rest are fresh hits"
     );
     assert_eq!(
-        count(Kind::Directory, "jobs-forwarded").await,
+        count(ProcessKind::Directory, "jobs-forwarded").await,
         1,
         "no directory call for a hit"
     );
     assert_eq!(
-        count(Kind::Directory, "resolves").await,
+        count(ProcessKind::Directory, "resolves").await,
         resolves,
         "nor a question"
     );
@@ -51,23 +51,23 @@
         .shared(1)
         .await
         .expect("the mapping is in the shared layer");
-    let other = fleet.get("router-2").door();
+    let other = fleet.get("router-2").client_address();
     whole(other, &prompt("j-20", "ana-key-0001", "once upon a time")).await;
-    assert_eq!(count(Kind::Router, "shared-fresh").await, 1);
-    assert_eq!(count(Kind::Directory, "jobs-forwarded").await, 1);
+    assert_eq!(count(ProcessKind::Router, "shared-fresh").await, 1);
+    assert_eq!(count(ProcessKind::Directory, "jobs-forwarded").await, 1);
 
     // A key in the body, a plain service, a router with no directory of its
     // own homes' region but its own.
-    let form = Call {
+    let form = ClientRequest {
         id: "j-30".into(),
         method: "POST".into(),
         target: "/form/write".into(),
         headers: Vec::new(),
         body: br#"{"prompt":"a form","key":"ben-key-0002","model":"writer"}"#.to_vec(),
     };
-    let (engine, _) = whole(fleet.get("router-3").door(), &form).await;
+    let (engine, _) = whole(fleet.get("router-3").client_address(), &form).await;
     assert_eq!(engine, "engine-3", "ben lives in the south first");
-    let thumb = Call {
+    let thumb = ClientRequest {
         id: "j-31".into(),
         method: "GET".into(),
         target: "/shop/ben-key-0002/p.png".into(),
@@ -82,7 +82,7 @@
     );
     // Guards: a prompt with a home never leaves it. Pictures are served in the
     // south alone, and ana lives in the north.
-    let away = Call {
+    let away = ClientRequest {
         target: "/shop/ana-key-0001/p.png".into(),
         id: "j-41".into(),
         ..thumb
@@ -116,8 +116,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn long_bodies() {
     let (_folder, fleet) = up("long").await;
-    let door = fleet.get("router-1").door();
-    let form = |id: &str, length: usize| Call {
+    let door = fleet.get("router-1").client_address();
+    let form = |id: &str, length: usize| ClientRequest {
         id: id.into(),
         method: "POST".into(),
         target: "/form/write".into(),
@@ -131,7 +131,7 @@
     whole(door, &form("j-1", 200_000)).await;
     assert_eq!(
         fleet
-            .count(Kind::Router, "unkeyed")
+            .count(ProcessKind::Router, "unkeyed")
             .await
             .expect("counters"),
         1
@@ -158,7 +158,7 @@
     whole(door, &long).await;
     long.id = "j-5".into();
     whole(door, &long).await;
-    let bad = Call {
+    let bad = ClientRequest {
         body: b"{\"key\": nonsense".to_vec(),
         ..form("j-6", 0)
     };
@@ -175,8 +175,8 @@
 async fn the_miss_path_at_its_edges() {
     let folder = Folder::new("edges");
     let text = SHAPE.replace(r#""ana": { "homes""#, r#""ana": { "fresh": "1ms", "homes""#);
-    let shape = Shape::parse(&text).expect("the shape reads");
-    let mut fleet = Fleet::lay(shape, &folder.0).expect("a fleet is laid out");
+    let shape = DeploymentSpec::parse(&text).expect("the shape reads");
+    let mut fleet = Fleet::new(shape, &folder.0).expect("a fleet is laid out");
     let set = |fleet: &mut Fleet, name: &str, args: &[&str]| {
         let args = args.iter().map(|arg| arg.to_string()).collect();
         fleet.processes.get_mut(name).expect("it is there").args = args;
@@ -187,9 +187,9 @@
     for name in ["engine-1", "engine-2"] {
         fleet.processes.get_mut(name).expect("it is there").args[4] = "120".into();
     }
-    fleet.up().await.expect("the fleet comes up");
-    let door = fleet.get("router-1").door();
-    let count = async |name: &str| fleet.count(Kind::Router, name).await.expect("told");
+    fleet.bootstrap().await.expect("the fleet comes up");
+    let door = fleet.get("router-1").client_address();
+    let count = async |name: &str| fleet.count(ProcessKind::Router, name).await.expect("told");
 
     // Stale at once: routed by what is known, refreshed behind, no forward.
     for n in 0..3 {
@@ -200,9 +200,9 @@
         .await;
     }
     assert_eq!(count("forwards").await, 1);
-    wait(Duration::from_secs(20), "a refresh", async || {
+    wait_until(Duration::from_secs(20), "a refresh", async || {
         anyhow::ensure!(
-            fleet.count(Kind::Router, "refreshes").await? >= 1,
+            fleet.count(ProcessKind::Router, "refreshes").await? >= 1,
             "none yet"
         );
         Ok(())
@@ -258,7 +258,7 @@
     }
 
     // A body that does not come is given up, and reaches nobody.
-    let mut stream = tokio::net::TcpStream::connect(fleet.get("router-2").door())
+    let mut stream = tokio::net::TcpStream::connect(fleet.get("router-2").client_address())
         .await
         .expect("up");
     let head = "POST /form/write HTTP/1.1\r\nhost: x\r\ncontent-length: 99\r\n\r\n{\"prompt\":";
@@ -273,12 +273,18 @@
 
     // A router at its bound of jobs says so, and takes the next one after.
     let router = fleet.get("router-3");
-    let mut stream = tokio::net::TcpStream::connect(router.door())
+    let mut stream = tokio::net::TcpStream::connect(router.client_address())
         .await
         .expect("up");
     stream.write_all(head.as_bytes()).await.expect("it is sent");
-    wait(PATIENCE, "the job", async || {
-        let vitals = ask(router.desk(), "GET", "/vitals", &OwnedValue::null()).await?;
+    wait_until(PATIENCE, "the job", async || {
+        let vitals = operator_request(
+            router.operator_address(),
+            "GET",
+            "/vitals",
+            &OwnedValue::null(),
+        )
+        .await?;
         let under_way = vitals.get("under_way").and_then(|v| v.as_u64());
         anyhow::ensure!(under_way == Some(1), "{under_way:?}");
         Ok(())
@@ -287,16 +293,22 @@
     .expect("it is under way");
     let second = prompt("f-1", "ben-key-0002", "x");
     assert_eq!(
-        refused(router.door(), &second).await,
+        refused(router.client_address(), &second).await,
         not_run(503, "router-full")
     );
     drop(stream);
-    served(router.door(), "ben-key-0002", "f").await;
+    served(router.client_address(), "ben-key-0002", "f").await;
 
     // With no node left that may see the body, the key goes alone.
     fleet.kill("directory-1");
     served(door, "ana-key-0001", "alone").await;
-    assert!(fleet.count(Kind::Router, "key-only").await.expect("told") >= 1);
+    assert!(
+        fleet
+            .count(ProcessKind::Router, "key-only")
+            .await
+            .expect("told")
+            >= 1
+    );
 }
 
 /// Guards: a tenant gets not much past its quota, and one within it is not
@@ -304,23 +316,23 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn quotas_hold_over_all_routers() {
     let folder = Folder::new("quota");
-    let shape = Shape::parse(SHAPE).expect("the shape reads");
-    let mut fleet = Fleet::lay(shape, &folder.0).expect("a fleet is laid out");
+    let shape = DeploymentSpec::parse(SHAPE).expect("the shape reads");
+    let mut fleet = Fleet::new(shape, &folder.0).expect("a fleet is laid out");
     // However long an election takes on a busy machine.
     for name in ["router-1", "router-2", "router-3"] {
         let args = ["--quota-ms", "30000"].map(String::from).to_vec();
         fleet.processes.get_mut(name).expect("it is there").args = args;
     }
-    fleet.up().await.expect("the fleet comes up");
+    fleet.bootstrap().await.expect("the fleet comes up");
     let terms = json!({ "do": "revise", "whole": false, "book": { "tenants": {
         "ana": { "pace": 1, "burst": 5 }, "ben": { "pace": 500, "burst": 500 },
     } } });
     let epoch = fleet.submit(terms).await.expect("taken");
     fleet.in_force(epoch, PATIENCE).await.expect("in force");
     let doors: Vec<_> = fleet
-        .of(Kind::Router)
+        .of(ProcessKind::Router)
         .iter()
-        .map(|router| router.door())
+        .map(|router| router.client_address())
         .collect();
     let begun = std::time::Instant::now();
     let mut jobs = tokio::task::JoinSet::new();
@@ -328,7 +340,7 @@
         let door = doors[n % doors.len()];
         for (tenant, key) in [("ana", "ana-key-0001"), ("ben", "ben-key-0002")] {
             let job = prompt(&format!("{tenant}-{n}"), key, "once upon a time");
-            jobs.spawn(async move { (tenant, call(door, &job, PATIENCE).await) });
+            jobs.spawn(async move { (tenant, send_request(door, &job, PATIENCE).await) });
         }
         if n == 30 {
             let leader = fleet.leader().await.expect("somebody leads");
@@ -338,12 +350,14 @@
     let (mut let_in, mut refused) = (0, 0);
     while let Some(done) = jobs.join_next().await {
         match done.expect("the caller ends") {
-            ("ana", Seen::Whole { .. }) => let_in += 1,
-            ("ana", Seen::Refused { code, outcome, .. }) if code == "quota" => {
+            ("ana", ClientOutcome::Complete { .. }) => let_in += 1,
+            ("ana", ClientOutcome::Rejected { code, outcome, .. }) if code == "quota" => {
                 assert_eq!(outcome, "not-run");
                 refused += 1;
             }
-            ("ben", Seen::Refused { code, .. }) => assert_ne!(code, "quota", "ben is within"),
+            ("ben", ClientOutcome::Rejected { code, .. }) => {
+                assert_ne!(code, "quota", "ben is within")
+            }
             _ => {}
         }
     }
@@ -371,7 +385,7 @@
     let begun = std::time::Instant::now();
     let mut jobs = tokio::task::JoinSet::new();
     for n in 0..16 {
-        let job = Call {
+        let job = ClientRequest {
             id: format!("far-{n}"),
             method: "POST".into(),
             target: "/form/write".into(),
@@ -382,14 +396,14 @@
             )
             .into_bytes(),
         };
-        let door = fleet.get(["router-1", "router-2"][n % 2]).door();
-        jobs.spawn(async move { call(door, &job, PATIENCE).await });
+        let door = fleet.get(["router-1", "router-2"][n % 2]).client_address();
+        jobs.spawn(async move { send_request(door, &job, PATIENCE).await });
     }
     let (mut let_in, mut refused) = (0, 0);
     while let Some(done) = jobs.join_next().await {
         match done.expect("the caller ends") {
-            Seen::Whole { .. } => let_in += 1,
-            Seen::Refused { code, outcome, .. } if code == "quota" => {
+            ClientOutcome::Complete { .. } => let_in += 1,
+            ClientOutcome::Rejected { code, outcome, .. } if code == "quota" => {
                 assert_eq!(outcome, "not-run");
                 refused += 1;
             }
--- a/testbed/tests/handed.rs
+++ b/testbed/tests/forwarding.rs
@@ -506,7 +506,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_that_its_router_left_half_said_never_runs() {
     let (_folder, fleet) = common::up("half-said").await;
-    common::served(fleet.get("router-1").door(), KEY, "before").await;
+    common::served(fleet.get("router-1").client_address(), KEY, "before").await;
     let node = fleet.get("directory-1").address();
     let mut draw = StdRng::seed_from_u64(9);
     let (mut silent, mut cut) = (Vec::new(), Vec::new());
--- a/testbed/tests/year.rs
+++ b/testbed/tests/large_log.rs
@@ -1,5 +1,5 @@
 //! The way back with a log of a year's size. Run by hand, in a release build:
-//! `cargo test --release -p testbed --test year -- --ignored --nocapture`.
+//! `cargo test --release -p testbed --test large_log -- --ignored --nocapture`.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use simd_json::json;
 use simd_json::prelude::*;
 use std::time::{Duration, Instant};
-use testbed::caller::{call, Seen};
-use testbed::fleet::{ask, Kind};
+use testbed::client::{send_request, ClientOutcome};
+use testbed::fleet::{operator_request, ProcessKind};
 
 /// Guards: after everything stops, service returns within about 12 s, with one
 /// zone that never comes back and engines that are cold.
@@ -25,7 +25,7 @@
         .submit(json!({ "do": "revise", "whole": false, "book": book }))
         .await
         .expect("taken");
-    let desks = fleet.desks();
+    let desks = fleet.operator_addresses();
     let mut changes = tokio::task::JoinSet::new();
     for lane in 0..48usize {
         let desk = desks[lane % desks.len()];
@@ -35,7 +35,10 @@
                 let id = format!("year-{lane}-{n}");
                 let key = format!("key-of-the-year-{lane}-{n}");
                 let change = json!({ "do": "key", "tenant": tenant, "key": key, "id": id });
-                while ask(desk, "POST", "/submit", &change).await.is_err() {
+                while operator_request(desk, "POST", "/submit", &change)
+                    .await
+                    .is_err()
+                {
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             }
@@ -44,7 +47,7 @@
     while let Some(done) = changes.join_next().await {
         done.expect("it is taken");
     }
-    let door = fleet.get("router-1").door();
+    let door = fleet.get("router-1").client_address();
     served(door, "ana-key-0001", "before").await;
     let names: Vec<String> = fleet.processes.keys().cloned().collect();
     for round in 0..5 {
@@ -66,13 +69,15 @@
                 "ana-key-0001",
                 "once upon",
             );
-            if let Seen::Whole { .. } = call(door, &job, Duration::from_secs(10)).await {
+            if let ClientOutcome::Complete { .. } =
+                send_request(door, &job, Duration::from_secs(10)).await
+            {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        let status = ask(
-            fleet.of(Kind::Directory)[0].desk(),
+        let status = operator_request(
+            fleet.of(ProcessKind::Directory)[0].operator_address(),
             "GET",
             "/status",
             &json!(null),
--- a/testbed/tests/orphans.rs
+++ b/testbed/tests/orphans.rs
@@ -14,13 +14,13 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc;
-use testbed::fleet::{program, wait};
+use testbed::fleet::{program, wait_until};
 
-const TURNOS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/shapes/turnos.json");
+const TURNOS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/deployments/turnos.json");
 
 /// When the program is ended.
 #[derive(Clone, Copy, Debug)]
-enum Moment {
+enum TimedAction {
     /// Once this many processes run.
     Started(usize),
     /// Once it says so.
@@ -71,15 +71,15 @@
     (child.expect("it starts"), File::from(read_end))
 }
 
-async fn wait_for(moment: Moment, child: &mut Child) {
+async fn wait_for(moment: TimedAction, child: &mut Child) {
     match moment {
-        Moment::Up => {
+        TimedAction::Up => {
             let mut lines = BufReader::new(child.stdout.as_mut().expect("it is piped")).lines();
             let is_up = |line: std::io::Result<String>| line.expect("it reads").starts_with("up;");
             assert!(lines.any(is_up), "it ended before it was up");
         }
-        Moment::Started(wanted) => {
-            wait(PATIENCE, "the start of its processes", async || {
+        TimedAction::Started(wanted) => {
+            wait_until(PATIENCE, "the start of its processes", async || {
                 let found = children_of(child.id()).len();
                 anyhow::ensure!(found >= wanted, "{found} of {wanted}");
                 Ok(())
@@ -120,15 +120,25 @@
     let fleet = ["--shape", &small];
     let scenarios = ["--shape", TURNOS, "--seeds", "1-1"];
     let replay = ["--shape", TURNOS, "--day", &day];
-    let cases: [(&str, &[&str], Moment, Signal); 8] = [
-        ("fleet", &fleet, Moment::Up, Signal::SIGTERM),
-        ("fleet", &fleet, Moment::Up, Signal::SIGINT),
-        ("fleet", &fleet, Moment::Up, Signal::SIGKILL),
-        ("fleet", &fleet, Moment::Started(1), Signal::SIGTERM),
-        ("scenarios", &scenarios, Moment::Started(6), Signal::SIGTERM),
-        ("scenarios", &scenarios, Moment::Started(6), Signal::SIGKILL),
-        ("replay", &replay, Moment::Started(6), Signal::SIGTERM),
-        ("replay", &replay, Moment::Started(6), Signal::SIGKILL),
+    let cases: [(&str, &[&str], TimedAction, Signal); 8] = [
+        ("fleet", &fleet, TimedAction::Up, Signal::SIGTERM),
+        ("fleet", &fleet, TimedAction::Up, Signal::SIGINT),
+        ("fleet", &fleet, TimedAction::Up, Signal::SIGKILL),
+        ("fleet", &fleet, TimedAction::Started(1), Signal::SIGTERM),
+        (
+            "scenarios",
+            &scenarios,
+            TimedAction::Started(6),
+            Signal::SIGTERM,
+        ),
+        (
+            "scenarios",
+            &scenarios,
+            TimedAction::Started(6),
+            Signal::SIGKILL,
+        ),
+        ("replay", &replay, TimedAction::Started(6), Signal::SIGTERM),
+        ("replay", &replay, TimedAction::Started(6), Signal::SIGKILL),
     ];
     for (at, (name, args, moment, signal)) in cases.into_iter().enumerate() {
         let case = format!("{name}, {moment:?}, {signal}");
--- a/testbed/tests/cut_leader.rs
+++ b/testbed/tests/partitioned_leader.rs
@@ -11,7 +11,7 @@
 use simd_json::{json, OwnedValue};
 use std::net::SocketAddr;
 use std::time::Duration;
-use testbed::fleet::{wait, Fleet, Kind, Process};
+use testbed::fleet::{wait_until, Fleet, Process, ProcessKind};
 use transport::http_client;
 use transport::link;
 
@@ -62,7 +62,7 @@
     value.get(field).and_then(|value| value.as_bool()) == Some(true)
 }
 
-fn names(fleet: &Fleet, kind: Kind) -> Vec<String> {
+fn names(fleet: &Fleet, kind: ProcessKind) -> Vec<String> {
     fleet
         .of(kind)
         .iter()
@@ -72,13 +72,13 @@
 
 async fn leader_but(fleet: &Fleet, cut: &str) -> String {
     let mut found = String::new();
-    wait(PATIENCE, "another leader", async || {
+    wait_until(PATIENCE, "another leader", async || {
         for node in fleet
-            .of(Kind::Directory)
+            .of(ProcessKind::Directory)
             .iter()
             .filter(|node| node.name != cut)
         {
-            if is_set(&get(node.desk(), "/status").await.1, "leads") {
+            if is_set(&get(node.operator_address(), "/status").await.1, "leads") {
                 found = node.name.clone();
                 return Ok(());
             }
@@ -91,7 +91,7 @@
 }
 
 async fn is_no_longer_recent(desk: SocketAddr) {
-    wait(PATIENCE, "the end of its lease", async || {
+    wait_until(PATIENCE, "the end of its lease", async || {
         anyhow::ensure!(
             !is_set(&get(desk, "/vitals").await.1, "recent"),
             "it is recent"
@@ -141,9 +141,9 @@
         .enumerate()
     {
         let old = fleet.leader().await.expect("somebody leads");
-        let desk = fleet.get(&old).desk();
+        let desk = fleet.get(&old).operator_address();
         fleet
-            .cut(std::slice::from_ref(&old), outward, inward)
+            .partition(std::slice::from_ref(&old), outward, inward)
             .expect("it is cut");
         // At once, while it may still believe that it leads.
         serves_no_operator(desk, &format!("first-{round}")).await;
@@ -153,14 +153,14 @@
         let book = json!({ "zones": { "east-a": { "region": "east" }, (zone.as_str()): { "region": "east" } } });
         let order =
             json!({ "do": "revise", "whole": false, "book": book, "id": format!("r-{round}") });
-        let (status, answer) = submit(fleet.get(&leader).desk(), order).await;
+        let (status, answer) = submit(fleet.get(&leader).operator_address(), order).await;
         assert_eq!(status, 200, "{answer}");
         let epoch = number(&answer, "epoch");
         serves_no_operator(desk, &format!("second-{round}")).await;
 
         fleet.kill(&old);
         fleet.start(&old).expect("it starts");
-        wait(PATIENCE, "its desk", async || {
+        wait_until(PATIENCE, "its desk", async || {
             let (_, vitals) = call_desk(desk, "GET", "/vitals", &OwnedValue::null()).await?;
             assert!(
                 !is_set(&vitals, "recent"),
@@ -173,7 +173,7 @@
         serves_no_operator(desk, &format!("third-{round}")).await;
 
         fleet.network.as_ref().expect("it has relays").heal();
-        wait(PATIENCE, "the document that the others hold", async || {
+        wait_until(PATIENCE, "the document that the others hold", async || {
             let (status, book) = get(desk, "/book").await;
             anyhow::ensure!(status == 200, "{status}: {book}");
             assert!(
@@ -187,7 +187,7 @@
         .expect("it is read back");
     }
     let mut books = Vec::new();
-    for desk in fleet.desks() {
+    for desk in fleet.operator_addresses() {
         let (status, book) = get(desk, "/book").await;
         assert_eq!(status, 200, "{book}");
         books.push(book.get("book").expect("the document").encode());
@@ -203,11 +203,11 @@
     let (_folder, fleet) = up("refusal").await;
     let unknown = |id: &str| json!({ "do": "evacuate", "zone": "nowhere", "id": id });
     let leader = fleet.leader().await.expect("somebody leads");
-    let desk = fleet.get(&leader).desk();
+    let desk = fleet.get(&leader).operator_address();
     let before = number(&get(desk, "/status").await.1, "commit");
     let (status, answer) = submit(desk, unknown("with-all")).await;
     assert_eq!(status, 422, "{answer}");
-    wait(PATIENCE, "the entry that decides", async || {
+    wait_until(PATIENCE, "the entry that decides", async || {
         let after = number(&get(desk, "/status").await.1, "commit");
         anyhow::ensure!(after > before, "{before}, {after}");
         Ok(())
@@ -215,7 +215,7 @@
     .await
     .expect("an entry decides");
 
-    let followers: Vec<String> = names(&fleet, Kind::Directory)
+    let followers: Vec<String> = names(&fleet, ProcessKind::Directory)
         .into_iter()
         .filter(|name| *name != leader)
         .collect();
@@ -227,7 +227,7 @@
     for name in &followers {
         fleet.signal(name, Signal::SIGCONT).expect("it goes on");
     }
-    wait(PATIENCE, "a clear refusal", async || {
+    wait_until(PATIENCE, "a clear refusal", async || {
         let (status, answer) = submit(desk, unknown("with-all-again")).await;
         anyhow::ensure!(status == 422, "{status}: {answer}");
         Ok(())
@@ -244,7 +244,10 @@
     let (_folder, fleet) = up_with_relays("resolve").await;
     let source = SocketAddr::from(([127, 0, 0, 1], 0));
     let cut = fleet.leader().await.expect("somebody leads");
-    let (desk, address) = (fleet.get(&cut).desk(), fleet.get(&cut).address());
+    let (desk, address) = (
+        fleet.get(&cut).operator_address(),
+        fleet.get(&cut).address(),
+    );
 
     let dial = async |kind| {
         link::dial(source, address, kind, "probe")
@@ -276,7 +279,7 @@
 
     let network = fleet.network.as_ref().expect("it has relays");
     for other in fleet
-        .of(Kind::Directory)
+        .of(ProcessKind::Directory)
         .iter()
         .filter(|other| other.name != cut)
     {
@@ -328,8 +331,8 @@
             None => panic!("it closed"),
         }
     }
-    for (round, router) in fleet.of(Kind::Router).iter().enumerate() {
-        served(router.door(), ANA, &format!("elsewhere-{round}")).await;
+    for (round, router) in fleet.of(ProcessKind::Router).iter().enumerate() {
+        served(router.client_address(), ANA, &format!("elsewhere-{round}")).await;
     }
 }
 
@@ -366,7 +369,7 @@
 /// The control node of a router's session, by its address.
 async fn session_of(fleet: &Fleet, router: &str) -> anyhow::Result<String> {
     let vitals = call_desk(
-        fleet.get(router).desk(),
+        fleet.get(router).operator_address(),
         "GET",
         "/vitals",
         &OwnedValue::null(),
@@ -396,7 +399,7 @@
         name: router.name.clone(),
         region: router.region.clone(),
         zone: router.zone.clone(),
-        client_address: router.door().to_string(),
+        client_address: router.client_address().to_string(),
         peer_address: router.address().to_string(),
         epoch: 1,
         age_ms: 0,
@@ -426,7 +429,7 @@
     let leader = fleet.leader().await.expect("somebody leads");
     let leader = fleet.get(&leader).address().to_string();
     loop {
-        served(fleet.get(router).door(), ANA, "before").await;
+        served(fleet.get(router).client_address(), ANA, "before").await;
         let address = session_of(fleet, router).await.expect("it has a session");
         if address != leader {
             return address;
@@ -443,7 +446,7 @@
         Silence::Cut => session_with_a_follower(&mut fleet, gone).await,
     };
     let is_first = |node: &&&Process| node.address().to_string() == first;
-    let nodes = fleet.of(Kind::Directory);
+    let nodes = fleet.of(ProcessKind::Directory);
     let node = nodes
         .iter()
         .find(is_first)
@@ -452,25 +455,25 @@
         .clone();
     match silence {
         Silence::Frozen => fleet.signal(&node, Signal::SIGSTOP),
-        Silence::Cut => fleet.cut(std::slice::from_ref(&node), true, true),
+        Silence::Cut => fleet.partition(std::slice::from_ref(&node), true, true),
     }
     .expect("it falls silent");
-    wait(PATIENCE, "a session elsewhere", async || {
+    wait_until(PATIENCE, "a session elsewhere", async || {
         let now = session_of(&fleet, gone).await?;
         anyhow::ensure!(now != first, "{now}");
         Ok(())
     })
     .await
     .expect("the router goes elsewhere");
-    served(fleet.get(gone).door(), ANA, "elsewhere").await;
+    served(fleet.get(gone).client_address(), ANA, "elsewhere").await;
     if silence == Silence::Frozen {
         beat_once(&fleet, gone, fleet.get(&node).address()).await;
     }
     fleet.kill(gone);
 
-    let desk = fleet.get(&node).desk();
+    let desk = fleet.get(&node).operator_address();
     let others: Vec<SocketAddr> = fleet
-        .desks()
+        .operator_addresses()
         .into_iter()
         .filter(|other| *other != desk)
         .collect();
@@ -485,10 +488,10 @@
         let is_named = routers.iter().any(is_it);
         is_named
     };
-    wait(PATIENCE, "the router's end", async || {
+    wait_until(PATIENCE, "the router's end", async || {
         let running = match silence {
             Silence::Frozen => &others[..],
-            Silence::Cut => &fleet.desks()[..],
+            Silence::Cut => &fleet.operator_addresses()[..],
         };
         for desk in running {
             anyhow::ensure!(!names_it(*desk).await, "it is named");
@@ -503,8 +506,8 @@
         Silence::Cut => fleet.network.as_ref().expect("it has relays").heal(),
     }
     let mut looks = 0;
-    wait(PATIENCE, "looks at all nodes", async || {
-        for desk in fleet.desks() {
+    wait_until(PATIENCE, "looks at all nodes", async || {
+        for desk in fleet.operator_addresses() {
             assert!(
                 !names_it(desk).await,
                 "a router that is gone is named again at {desk}"
--- a/testbed/tests/cuts.rs
+++ b/testbed/tests/partitions.rs
@@ -8,25 +8,25 @@
 use simd_json::OwnedValue;
 use std::net::SocketAddr;
 use std::time::Duration;
-use testbed::caller::{call, Seen};
-use testbed::fleet::{ask, wait, Fleet, Kind};
+use testbed::client::{send_request, ClientOutcome};
+use testbed::fleet::{operator_request, wait_until, Fleet, ProcessKind};
 
 const BEN: &str = "ben-key-0002";
 
 async fn status(desk: SocketAddr) -> anyhow::Result<OwnedValue> {
-    ask(desk, "GET", "/status", &OwnedValue::null()).await
+    operator_request(desk, "GET", "/status", &OwnedValue::null()).await
 }
 
 /// A leader elsewhere than at the one that is cut off.
 async fn another_leader(fleet: &Fleet, cut: &str) -> String {
     let mut found = String::new();
-    wait(PATIENCE, "another leader", async || {
+    wait_until(PATIENCE, "another leader", async || {
         for node in fleet
-            .of(Kind::Directory)
+            .of(ProcessKind::Directory)
             .iter()
             .filter(|node| node.name != cut)
         {
-            let status = status(node.desk()).await?;
+            let status = status(node.operator_address()).await?;
             if status.get("leads").and_then(|v| v.as_bool()) == Some(true) {
                 found = node.name.clone();
                 return Ok(());
@@ -44,7 +44,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leader_is_cut_off_each_way_and_comes_back() {
     let (_folder, fleet) = up_with_relays("cut").await;
-    let door = fleet.get("router-3").door();
+    let door = fleet.get("router-3").client_address();
     served(door, BEN, "before").await;
     for (round, (outward, inward)) in [(true, true), (true, false), (false, true)]
         .into_iter()
@@ -52,11 +52,11 @@
     {
         let leader = fleet.leader().await.expect("somebody leads");
         fleet
-            .cut(std::slice::from_ref(&leader), outward, inward)
+            .partition(std::slice::from_ref(&leader), outward, inward)
             .expect("it is cut");
         another_leader(&fleet, &leader).await;
-        let old = fleet.get(&leader).desk();
-        wait(PATIENCE, "its stepping down", async || {
+        let old = fleet.get(&leader).operator_address();
+        wait_until(PATIENCE, "its stepping down", async || {
             let leads = status(old).await?.get("leads").and_then(|v| v.as_bool());
             anyhow::ensure!(leads == Some(false), "it still leads");
             Ok(())
@@ -70,13 +70,13 @@
             change
                 .insert("id", format!("minority-{round}"))
                 .expect("an object");
-            let error = ask(old, "POST", "/submit", &change).await;
+            let error = operator_request(old, "POST", "/submit", &change).await;
             let error = error.expect_err("a minority refuses").to_string();
             assert!(error.contains("503"), "{error}");
         }
         let mut epoch = 0;
         for node in fleet
-            .of(Kind::Directory)
+            .of(ProcessKind::Directory)
             .iter()
             .filter(|node| node.name != leader)
         {
@@ -84,7 +84,7 @@
             change
                 .insert("id", format!("change-{round}"))
                 .expect("an object");
-            let answer = ask(node.desk(), "POST", "/submit", &change)
+            let answer = operator_request(node.operator_address(), "POST", "/submit", &change)
                 .await
                 .expect("it is taken");
             epoch = answer
@@ -94,7 +94,7 @@
         }
         served(door, BEN, &format!("cut-{round}")).await;
         fleet.network.as_ref().expect("it has relays").heal();
-        wait(PATIENCE, "agreement", async || {
+        wait_until(PATIENCE, "agreement", async || {
             let at = status(old).await?.get("epoch").and_then(|v| v.as_u64());
             anyhow::ensure!(at >= Some(epoch), "it has {at:?} of {epoch}");
             Ok(())
@@ -109,28 +109,28 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn routers_and_engines_are_cut_off() {
     let (_folder, fleet) = up_with_relays("dark").await;
-    let door = fleet.get("router-1").door();
+    let door = fleet.get("router-1").client_address();
     served(door, BEN, "before").await;
     fleet
-        .cut(&["router-1".to_string()], true, true)
+        .partition(&["router-1".to_string()], true, true)
         .expect("it is cut");
     is_refused(door, BEN, "cut", "no-lease").await;
-    served(fleet.get("router-3").door(), BEN, "elsewhere").await;
+    served(fleet.get("router-3").client_address(), BEN, "elsewhere").await;
     fleet.network.as_ref().expect("it has relays").heal();
     served(door, BEN, "again").await;
 
     // The south's engine goes dark; the north is among ben's homes.
     fleet
-        .cut(&["engine-3".to_string()], true, true)
+        .partition(&["engine-3".to_string()], true, true)
         .expect("it is cut");
     let mut round = 0;
-    wait(PATIENCE, "the other home", async || {
+    wait_until(PATIENCE, "the other home", async || {
         round += 1;
         let job = prompt(&format!("d-{round}"), "ben-key-0002", "once upon a time");
-        match call(door, &job, Duration::from_secs(30)).await {
-            Seen::Whole { engine, .. } if engine != "engine-3" => Ok(()),
+        match send_request(door, &job, Duration::from_secs(30)).await {
+            ClientOutcome::Complete { engine, .. } if engine != "engine-3" => Ok(()),
             // Told when the engine is given up, and not held to its deadline.
-            Seen::Refused { code, .. } if code == "deadline" => panic!("held back"),
+            ClientOutcome::Rejected { code, .. } if code == "deadline" => panic!("held back"),
             other => anyhow::bail!("{other:?}"),
         }
     })
--- a/testbed/tests/day.rs
+++ b/testbed/tests/recorded_workload.rs
@@ -6,7 +6,7 @@
 use common::*;
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
-use testbed::{day, replay};
+use testbed::{replay, workload};
 
 const MIX: &str = r#","mix":[
   {"per_second":30,"service":"writer","method":"POST","target":"/app/write","once":true,
@@ -36,12 +36,12 @@
         .expect("an object")
         .to_string()
         + MIX;
-    let moments = day::make(&shape, None, 8, 1.0, 11).expect("the mix reads");
-    let ends = replay::Ends::of(&fleet);
+    let moments = workload::make(&shape, None, 8, 1.0, 11).expect("the mix reads");
+    let ends = replay::Targets::of_fleet(&fleet);
     replay::play(ends, Some(&mut fleet), moments, &folder.0)
         .await
         .expect("it is played");
-    let (journals, findings) = replay::judge(&fleet, &folder.0).expect("the journals read");
+    let (journals, findings) = replay::check_rules(&fleet, &folder.0).expect("the journals read");
     let summary = replay::summary(&fleet, &journals)
         .await
         .expect("counters are told");
--- a/testbed/tests/streams.rs
+++ b/testbed/tests/streams.rs
@@ -82,7 +82,7 @@
         ),
         format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunks}0\r\n\r\n"),
     ];
-    let door = fleet.get("router-1").door();
+    let door = fleet.get("router-1").client_address();
     let headers = [("x-tenant-key", "ana-key-0001"), ("x-model", "writer")];
     let ask = async || {
         let body = br#"{"prompt":"x"}"#.to_vec();
@@ -98,7 +98,7 @@
             fleet.in_force(epoch, PATIENCE).await.expect("in force");
         }
         let before = fleet
-            .count(testbed::fleet::Kind::Router, "forwards")
+            .count(testbed::fleet::ProcessKind::Router, "forwards")
             .await
             .expect("told");
         for answer in &answers {
@@ -153,7 +153,7 @@
         );
 
         let after = fleet
-            .count(testbed::fleet::Kind::Router, "forwards")
+            .count(testbed::fleet::ProcessKind::Router, "forwards")
             .await
             .expect("told");
         let jobs: u64 = answers.iter().map(|answer| answer.len() as u64 + 1).sum();
