--- a/directory/src/forwarded_requests/serve.rs
+++ b/directory/src/forwarded_requests/serve.rs
@@ -188,11 +188,11 @@
         method: head.method.parse()?,
         target: head.target.clone(),
         headers: headers_from_frame(&head.headers)?,
-        key,
-        deadline: now().saturating_add(head.remaining_ms),
+        key_digest: key,
+        deadline_ms: now().saturating_add(head.remaining_ms),
         prompt: Prompt::default(),
         urgency: None,
-        aim_ms: 0,
+        latency_target_ms: 0,
     })
 }
 
--- a/dispatch/src/connection_pool.rs
+++ b/dispatch/src/connection_pool.rs
@@ -1,62 +1,82 @@
-//! Connections to engines that lie ready for the next job.
+//! Idle connections to engines, kept for idempotent requests.
 
+use crate::body::OutgoingBody;
 use crate::guard::GuardSlot;
-use crate::OutgoingBody;
 use parking_lot::Mutex;
 use std::collections::HashMap;
 use std::sync::Arc;
 use transport::{now, AbortOnDrop};
 
-/// The most that lie ready for one engine.
-const MOST: usize = 8;
+/// The most idle connections that are kept for one engine.
+const MAX_IDLE_PER_ENGINE: usize = 8;
 
-/// One connection. Invariant: it carries one job at a time.
+/// One HTTP/1.1 connection. Invariant: it carries one request at a time.
 pub struct PooledConnection {
+    /// Sends requests on it.
     pub sender: hyper::client::conn::http1::SendRequest<OutgoingBody>,
-    pub slot: Arc<GuardSlot>,
+    /// Takes the guard of the next request.
+    pub guard_slot: Arc<GuardSlot>,
+    /// Ends the connection when dropped.
     pub driver: AbortOnDrop,
 }
 
-/// Invariant: a lane lies here only between two jobs, and is not used past the
-/// time that its engine keeps it.
+struct IdleConnection {
+    connection: PooledConnection,
+    expires_at_ms: u64,
+}
+
+impl IdleConnection {
+    fn is_alive(&self) -> bool {
+        now() < self.expires_at_ms && !self.connection.sender.is_closed()
+    }
+}
+
+/// Invariant: a connection is in here only between two requests, and is not used past
+/// the time that its engine keeps it.
 #[derive(Default)]
 pub struct ConnectionPool {
-    ready: Mutex<HashMap<String, Vec<(u64, PooledConnection)>>>,
+    idle: Mutex<HashMap<String, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// The lane to an engine that was used last and is still sound.
+    /// The connection to an engine that was used last and is still alive.
     pub fn acquire(&self, engine: &str) -> Option<PooledConnection> {
-        let mut ready = self.ready.lock();
-        let connections = ready.get_mut(engine)?;
-        connections.retain(|(until, lane)| now() < *until && !lane.sender.is_closed());
-        let place = connections
+        let mut idle = self.idle.lock();
+        let connections = idle.get_mut(engine)?;
+        connections.retain(IdleConnection::is_alive);
+        let last_ready = connections
             .iter()
-            .rposition(|(_, lane)| lane.sender.is_ready())?;
-        Some(connections.remove(place).1)
+            .rposition(|idle| idle.connection.sender.is_ready())?;
+        Some(connections.remove(last_ready).connection)
     }
 
-    pub fn release(&self, engine: &str, idle_timeout_ms: u64, lane: PooledConnection) {
-        if idle_timeout_ms == 0 || lane.sender.is_closed() {
+    /// Takes a connection back after a complete response. Keeps it for
+    /// `idle_timeout_ms`, where that isn't 0; the oldest one goes if there are too many.
+    pub fn release(&self, engine: &str, idle_timeout_ms: u64, connection: PooledConnection) {
+        if idle_timeout_ms == 0 || connection.sender.is_closed() {
             return;
         }
-        let mut ready = self.ready.lock();
-        let connections = ready.entry(engine.to_string()).or_default();
-        connections.push((now() + idle_timeout_ms, lane));
-        if connections.len() > MOST {
+        let mut idle = self.idle.lock();
+        let connections = idle.entry(engine.to_string()).or_default();
+        connections.push(IdleConnection {
+            connection,
+            expires_at_ms: now() + idle_timeout_ms,
+        });
+        if connections.len() > MAX_IDLE_PER_ENGINE {
             connections.remove(0);
         }
     }
 
-    /// Lets go of the connections to an engine that failed: they may hang as well.
+    /// Closes the idle connections to an engine that failed: they may hang as well.
     pub fn discard(&self, engine: &str) {
-        drop(self.ready.lock().remove(engine));
+        drop(self.idle.lock().remove(engine));
     }
 
-    /// Lets go of the connections to engines that are gone, and of those past their time.
+    /// Closes the connections to engines that are not known any more, and those past
+    /// their time.
     pub fn evict_expired(&self, is_known: impl Fn(&str) -> bool) {
-        self.ready.lock().retain(|engine, connections| {
-            connections.retain(|(until, lane)| now() < *until && !lane.sender.is_closed());
+        self.idle.lock().retain(|engine, connections| {
+            connections.retain(IdleConnection::is_alive);
             is_known(engine) && !connections.is_empty()
         });
     }
--- a/dispatch/src/guard.rs
+++ b/dispatch/src/guard.rs
@@ -1,6 +1,10 @@
-//! The last look at a job before its first byte leaves for an engine.
+//! The last check of a request, in the call that sends its first byte to an engine.
+//!
+//! Between the selection of an engine and the first byte, leases expire, keys are revoked,
+//! engines move, and the process itself may be suspended. [`GuardedStream`] therefore
+//! checks everything once more within the write call: a process that was suspended after
+//! an earlier check, and wakes later, sends nothing.
 
-use crate::PermitDispatch;
 use hyper_util::rt::TokioIo;
 use parking_lot::Mutex;
 use residency::{Mapping, View};
@@ -13,90 +17,115 @@
 use transport::now;
 use transport::rejection::Rejection;
 
-/// Everything that must hold when the first byte of a job leaves for an engine.
+/// Whether this process may dispatch by this mapping now: its lease is valid, and the
+/// mapping was not invalidated.
+pub type PermitDispatch = Arc<dyn Fn(&Mapping) -> Result<(), Rejection> + Send + Sync>;
+
+/// Everything that must hold when the first byte of a request is sent to an engine.
 pub struct DispatchGuard {
+    /// The replicated state as this process knows it.
     pub view: watch::Receiver<Arc<View>>,
+    /// See [`PermitDispatch`].
     pub permit: PermitDispatch,
+    /// The mapping that the request is dispatched by.
     pub mapping: Arc<Mapping>,
-    /// Empty where the job's route is public.
-    pub key: String,
-    pub deadline: u64,
+    /// The digest of the tenant key; empty where the request's route is public.
+    pub key_digest: String,
+    /// When the request expires, in milliseconds of this process's clock.
+    pub deadline_ms: u64,
+    /// The name of the selected engine.
     pub engine: String,
+    /// The address of the selected engine.
     pub address: String,
-    pub is_held: Box<dyn Fn() -> bool + Send + Sync>,
+    /// Whether the slot at the engine is still valid.
+    pub is_slot_valid: Box<dyn Fn() -> bool + Send + Sync>,
 }
 
-/// What stands against it.
+/// What stands against a dispatch. Nothing was sent.
+#[derive(Debug, thiserror::Error)]
 pub enum GuardError {
-    Deadline,
-    Key,
+    /// The request's deadline passed.
+    #[error("the request's deadline passed")]
+    DeadlinePassed,
+    /// The tenant key that the request was admitted by is not valid any more.
+    #[error("the tenant key was revoked")]
+    KeyRevoked,
+    /// The process may not dispatch by this mapping now.
+    #[error("{0}")]
     NotPermitted(Rejection),
-    /// The engine may not have it any more; another one may.
-    Engine,
+    /// This engine may not have the request any more; another one may.
+    #[error("the engine may not serve the request any more")]
+    EngineUnavailable,
 }
 
 impl DispatchGuard {
-    pub fn look(&self) -> Result<(), GuardError> {
-        if now() >= self.deadline {
-            return Err(GuardError::Deadline);
+    /// Checks everything, in an order that puts what ends the request before what ends
+    /// this attempt alone.
+    pub fn check(&self) -> Result<(), GuardError> {
+        if now() >= self.deadline_ms {
+            return Err(GuardError::DeadlinePassed);
         }
         let view = self.view.borrow();
-        if !self.key.is_empty() && !view.keys.contains_key(&self.key) {
-            return Err(GuardError::Key);
+        if !self.key_digest.is_empty() && !view.keys.contains_key(&self.key_digest) {
+            return Err(GuardError::KeyRevoked);
         }
-        let may_have = placement::may_serve(&view, &self.mapping, &self.engine, &self.address);
+        let may_serve = placement::may_serve(&view, &self.mapping, &self.engine, &self.address);
         drop(view);
         (self.permit)(&self.mapping).map_err(GuardError::NotPermitted)?;
-        match may_have && (self.is_held)() {
+        match may_serve && (self.is_slot_valid)() {
             true => Ok(()),
-            false => Err(GuardError::Engine),
+            false => Err(GuardError::EngineUnavailable),
         }
     }
 }
 
-/// What waits for the first byte of the next job on a connection.
+/// A guard that waits for the first byte of the next request on a connection.
 pub struct ArmedGuard {
-    pub look: DispatchGuard,
+    /// What must hold.
+    pub guard: DispatchGuard,
+    /// Set before any byte is handed to the kernel.
     pub first_byte_sent: Arc<AtomicBool>,
-    /// Writes down that the job leaves.
-    pub note: Box<dyn Fn() + Send>,
+    /// Called right before the first byte is sent.
+    pub record_dispatch: Box<dyn Fn() + Send>,
 }
 
-/// Where the next job of a connection puts its look. Invariant: it is filled
-/// before the job's request is handed to the connection.
+/// Holds the guard of the next request on a connection.
+///
+/// Invariant: it is armed before the request is handed to the connection.
 #[derive(Default)]
 pub struct GuardSlot(Mutex<Option<ArmedGuard>>);
 
 impl GuardSlot {
+    /// Sets the guard of the next request.
     pub fn arm(&self, armed: ArmedGuard) {
         *self.0.lock() = Some(armed);
     }
-}
-
-/// A connection whose first byte of each job waits for one more look, in the very
-/// call that hands it to the kernel: a process that froze after the look before,
-/// and wakes later, sends nothing. Invariant: `first_byte_sent` is set before any byte
-/// is handed over.
-pub struct GuardedStream {
-    pub stream: TokioIo<TcpStream>,
-    pub slot: Arc<GuardSlot>,
-}
 
-impl GuardedStream {
-    fn pass(&mut self) -> std::io::Result<()> {
-        let mut slot = self.slot.0.lock();
+    /// Checks and removes the guard, if one is armed.
+    fn pass(&self) -> std::io::Result<()> {
+        let mut slot = self.0.lock();
         if let Some(armed) = &*slot {
-            if armed.look.look().is_err() {
+            if armed.guard.check().is_err() {
                 return Err(std::io::ErrorKind::PermissionDenied.into());
             }
             armed.first_byte_sent.store(true, Ordering::SeqCst);
-            (armed.note)();
+            (armed.record_dispatch)();
             *slot = None;
         }
         Ok(())
     }
 }
 
+/// A connection whose first byte of each request passes the guard within the write call.
+///
+/// Invariant: `first_byte_sent` is set before any byte is handed to the kernel.
+pub struct GuardedStream {
+    /// The TCP connection.
+    pub stream: TokioIo<TcpStream>,
+    /// Shared with the sender of requests, which arms it.
+    pub guard_slot: Arc<GuardSlot>,
+}
+
 impl hyper::rt::Read for GuardedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
@@ -113,7 +142,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
-        self.pass()?;
+        self.guard_slot.pass()?;
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
@@ -122,7 +151,7 @@
         context: &mut Context<'_>,
         bytes: &[std::io::IoSlice<'_>],
     ) -> Poll<std::io::Result<usize>> {
-        self.pass()?;
+        self.guard_slot.pass()?;
         Pin::new(&mut self.stream).poll_write_vectored(context, bytes)
     }
 
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -86,8 +86,8 @@
                 if !permitted(router, tenant).contains(&node) {
                     continue;
                 }
-                let is_known =
-                    parts.key.is_empty() || router.view.borrow().keys.contains_key(&parts.key);
+                let is_known = parts.key_digest.is_empty()
+                    || router.view.borrow().keys.contains_key(&parts.key_digest);
                 if !is_known {
                     let text = "this tenant key was taken away meanwhile";
                     return ForwardOutcome::Refused(Rejection::not_run(401, "unknown-key", text));
@@ -96,7 +96,7 @@
                 router.metrics.increment("forwards");
                 log::info!(job = parts.id.as_str(), directory = node.to_string(); "handed on");
                 let conversation = converse(router, job, parts, carried, permit, reader, writer);
-                let left = Duration::from_millis(parts.deadline.saturating_sub(now()));
+                let left = Duration::from_millis(parts.deadline_ms.saturating_sub(now()));
                 return match tokio::time::timeout(left, conversation).await {
                     Ok(Ok(handed)) => handed,
                     Ok(Err(error)) => {
@@ -163,19 +163,19 @@
         headers: headers_to_frame(&headers),
         client_region: router.settings.region.clone(),
         epoch: router.view.borrow().epoch,
-        remaining_ms: parts.deadline.saturating_sub(now()),
+        remaining_ms: parts.deadline_ms.saturating_sub(now()),
         is_quota_charged: permit.is_some().into(),
     };
     link::send(&mut writer, &Frame::RequestHead(head)).await?;
-    link::send(&mut writer, &Frame::RequestBody(carried.held.to_vec())).await?;
+    link::send(&mut writer, &Frame::RequestBody(carried.buffered.to_vec())).await?;
     // A job whose key this router read waits for the node's word before the
     // rest follows; one whose key is still to be found is sent on whole.
     let mut way = Some(writer);
     let mut upload = None;
-    if !carried.has_rest() {
+    if !carried.has_remainder() {
         send_end(&mut way).await?;
     } else if permit.is_none() {
-        let rest = carried.take_rest();
+        let rest = carried.take_remainder();
         upload = rest
             .zip(way.take())
             .map(|(rest, writer)| send_rest(rest, writer));
@@ -196,7 +196,7 @@
                 mapping = Some(found);
             }
             Some(Frame::Continue) => {
-                if let Some(rest) = carried.take_rest() {
+                if let Some(rest) = carried.take_remainder() {
                     upload = way.take().map(|writer| send_rest(rest, writer));
                 }
             }
@@ -207,7 +207,7 @@
                 not_run: true,
                 code,
                 ..
-            }) if carried.is_whole()
+            }) if carried.is_intact()
                 && mapping.is_some()
                 && (code == "directory-full"
                     || code == "engines-full"
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -322,10 +322,10 @@
         method: head.method.clone(),
         target,
         headers: head.headers.clone(),
-        key: client
+        key_digest: client
             .as_ref()
             .map_or(String::new(), |client| client.key.clone()),
-        deadline,
+        deadline_ms: deadline,
         prompt: reader.with(|head| view.program.prompt(rule, head)),
         urgency: client
             .as_ref()
@@ -333,7 +333,7 @@
             .map(|terms| terms.urgency)
             .filter(|urgency| *urgency != u8::MAX)
             .or(rule.urgency),
-        aim_ms: rule.latency_target_ms.unwrap_or(0),
+        latency_target_ms: rule.latency_target_ms.unwrap_or(0),
     };
     let tenant = client.map(|client| client.tenant);
     let (tenant, service) = match (&tenant, &extract.service) {
@@ -524,7 +524,7 @@
             Err(refusal)
                 if refusal.code == "mapping-void"
                     && refusal.outcome == ExecutionOutcome::NotRun
-                    && carried.is_whole() => {}
+                    && carried.is_intact() => {}
             Err(refusal) => return Err(refusal),
         }
     }
@@ -627,7 +627,7 @@
                 }
             }
         }
-        if now() >= parts.deadline {
+        if now() >= parts.deadline_ms {
             return Err(Rejection::not_run(
                 504,
                 "deadline",
@@ -646,7 +646,7 @@
         // the key alone, so that no second node has to be asked for its place.
         ForwardOutcome::Refused(_)
             if job.state() == RequestState::Identified
-                && carried.is_whole()
+                && carried.is_intact()
                 && (router.dispatcher.retry_budget)(&keyed.service) =>
         {
             router.metrics.increment("retries");
--- a/router/src/load_gossip.rs
+++ b/router/src/load_gossip.rs
@@ -108,7 +108,7 @@
         drop(
             tokio::time::timeout(
                 again,
-                router.dispatcher.engine_tracker.load_changed.notified(),
+                router.dispatcher.engine_tracker.load_changed().notified(),
             )
             .await,
         );
--- a/testbed/tests/dispatch_guard.rs
+++ b/testbed/tests/dispatch_guard.rs
@@ -216,11 +216,11 @@
                 method: http::Method::POST,
                 target: "/app/write".into(),
                 headers: Default::default(),
-                key: "digest".into(),
-                deadline: transport::now() + 20_000,
+                key_digest: "digest".into(),
+                deadline_ms: transport::now() + 20_000,
                 prompt: Default::default(),
                 urgency: None,
-                aim_ms: 0,
+                latency_target_ms: 0,
             };
             let mut carried = RequestBody::new(Bytes::from_static(b"{\"prompt\":\"x\"}"), None);
             let answer = dispatcher
@@ -242,7 +242,7 @@
                 refusal.text
             );
             assert_eq!(bytes, 0, "{name}: not a byte reached the engine");
-            assert!(carried.is_whole(), "{name}");
+            assert!(carried.is_intact(), "{name}");
         }
     }
 }
--- a/transport/src/rejection.rs
+++ b/transport/src/rejection.rs
@@ -8,6 +8,7 @@
 pub const REQUEST_ID_HEADER: &str = "x-rushport-job";
 
 /// A refusal, in the one shape that all have.
+#[derive(Debug)]
 pub struct Rejection {
     pub status: u16,
     pub code: String,
@@ -29,6 +30,12 @@
         }
     }
 
+    /// The same with another outcome.
+    pub fn with_outcome(mut self, outcome: placement::ExecutionOutcome) -> Rejection {
+        self.outcome = outcome;
+        self
+    }
+
     pub fn retry(mut self, ms: u64) -> Rejection {
         self.retry_after_ms = Some(ms);
         self
@@ -66,3 +73,11 @@
         _ => Rejection::not_run(403, code, text),
     }
 }
+
+impl std::fmt::Display for Rejection {
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        write!(f, "{} {}: {}", self.status, self.code, self.text)
+    }
+}
+
+impl std::error::Error for Rejection {}
