--- a/directory/src/leader_clock.rs
+++ b/directory/src/leader_clock.rs
@@ -1,9 +1,9 @@
-//! Whether a question that another node forwarded may still be acted on.
+//! Whether the leader may still act on a request that another node forwarded.
 //!
-//! A connection that a cut holds back delivers its bytes when the cut ends, long
-//! after the asker gave the question up. Clocks of two machines are not alike, so
-//! the asker states a deadline by the clock of the leader, which it learns from
-//! the leader's replies; what is late by that clock is not proposed.
+//! A connection that a network partition held back delivers its bytes when the partition
+//! ends, long after the asker gave the request up. Clocks of two machines differ, so the
+//! asker states a deadline by the clock of the leader, which it learns from the leader's
+//! responses; what is late by that clock is not proposed. In memory alone.
 
 use consensus::{NodeId, Term};
 use protocol::{PeerRequest, Validity};
@@ -15,20 +15,20 @@
     known: Option<Offset>,
 }
 
-/// A process that starts again has another clock. It can lead again in a later
-/// term only, so the term tells the two apart.
+/// A process that is restarted has another clock. It can lead again in a later term
+/// only, so the term tells the two apart.
 struct Offset {
     leader: NodeId,
     term: Term,
-    /// What the leader's clock shows beyond the one here.
+    /// How far the leader's clock is ahead of the one here.
     ahead_ms: i64,
 }
 
 impl LeaderClock {
-    /// Takes a clock that a leader sent with a reply that came `now`. Of several
-    /// the one that travelled for the shortest time is the nearest.
-    pub fn learn(&mut self, leader: NodeId, term: Term, clock_ms: u64, now: u64) {
-        let ahead_ms = clock_ms as i64 - now as i64;
+    /// Takes a clock that a leader sent with a response that was received at `now_ms`. Of
+    /// several the one that travelled for the shortest time is the nearest.
+    pub fn learn(&mut self, leader: NodeId, term: Term, clock_ms: u64, now_ms: u64) {
+        let ahead_ms = clock_ms as i64 - now_ms as i64;
         match &mut self.known {
             Some(known) if known.leader == leader && known.term == term => {
                 known.ahead_ms = known.ahead_ms.max(ahead_ms);
@@ -43,19 +43,20 @@
         }
     }
 
-    /// What a question to that leader is to say, if it is of use up to `until` by
+    /// The validity of a request to that leader which is of use until `deadline_ms` by
     /// the clock here.
-    pub fn validity(&self, leader: NodeId, term: Term, until: u64) -> Validity {
+    pub fn validity(&self, leader: NodeId, term: Term, deadline_ms: u64) -> Validity {
         let known = self.known.as_ref();
         let known = known.filter(|known| known.leader == leader && known.term == term);
-        let deadline_ms = known.map_or(0, |known| until.saturating_add_signed(known.ahead_ms));
+        let deadline_ms =
+            known.map_or(0, |known| deadline_ms.saturating_add_signed(known.ahead_ms));
         Validity { term, deadline_ms }
     }
 }
 
-/// Whether the leader of `term` may act on a question at `now`. Confirmations only
+/// Whether the leader of `term` may act on a request at `now_ms`. Read indexes only
 /// read: a late one finds nobody waiting and changes nothing.
-pub fn is_valid(question: &PeerRequest, validity: Validity, term: Term, now: u64) -> bool {
-    let is_read = matches!(question, PeerRequest::ReadIndex { .. });
-    validity.term == term && (is_read || now < validity.deadline_ms)
+pub fn is_valid(request: &PeerRequest, validity: Validity, term: Term, now_ms: u64) -> bool {
+    let is_read = matches!(request, PeerRequest::ReadIndex { .. });
+    validity.term == term && (is_read || now_ms < validity.deadline_ms)
 }
--- a/directory/src/pending_requests.rs
+++ b/directory/src/pending_requests.rs
@@ -1,59 +1,60 @@
-//! Questions that were sent to other nodes: which number went to which address, so
-//! that an answer counts only when it comes from where its question went, and once.
+//! Requests that were sent to other nodes: which one went to which address, so that a
+//! response counts only when it comes from where its request went, and once.
 //!
-//! No clock and no socket: time is an argument.
+//! No clock and no socket: time is an argument. In memory alone.
 
 use std::collections::HashMap;
 
-/// Invariant: a number is here from when its question was sent until its answer was
-/// taken or it is too old to be waited for.
+/// Invariant: a request is here from when it was sent until its response was accepted or
+/// it is too old to be waited for.
 #[derive(Default)]
 pub struct PendingRequests {
-    open: HashMap<u64, SentRequest>,
+    sent: HashMap<u64, SentRequest>,
 }
 
 struct SentRequest {
     address: String,
-    sent_ms: u64,
+    sent_at_ms: u64,
 }
 
-/// For so long an answer may come. Invariant: longer than anybody waits for one.
-const OPEN_MS: u64 = 5_000;
-/// Old questions are looked for when there are so many.
-const MANY: usize = 256;
+/// For so long a response is accepted. Invariant: longer than anybody waits for one.
+const RESPONSE_TIMEOUT_MS: u64 = 5_000;
+/// Old requests are dropped when there are so many.
+const CLEAN_UP_LEN: usize = 256;
 
 impl PendingRequests {
-    /// A question of this number is sent there.
-    pub fn record_sent(&mut self, now: u64, number: u64, address: &str) {
-        if self.open.len() >= MANY {
-            self.open
-                .retain(|_, question| now < question.sent_ms + OPEN_MS);
+    /// Records that the request of this id is sent to `address`.
+    pub fn record_sent(&mut self, now_ms: u64, request_id: u64, address: &str) {
+        if self.sent.len() >= CLEAN_UP_LEN {
+            self.sent
+                .retain(|_, request| now_ms < request.sent_at_ms + RESPONSE_TIMEOUT_MS);
         }
-        let question = SentRequest {
+        let request = SentRequest {
             address: address.to_string(),
-            sent_ms: now,
+            sent_at_ms: now_ms,
         };
-        self.open.insert(number, question);
+        self.sent.insert(request_id, request);
     }
 
-    /// Whether an answer of this number, from the node at that address, is one that
-    /// is waited for. The next one of the same number is not.
-    pub fn accept_response(&mut self, now: u64, number: u64, address: &str) -> bool {
-        let is_awaited = |question: &SentRequest| {
-            question.address == address && now < question.sent_ms + OPEN_MS
+    /// Whether a response to the request of this id, from the node at `address`, is one
+    /// that is waited for. The next one of the same id is not.
+    pub fn accept_response(&mut self, now_ms: u64, request_id: u64, address: &str) -> bool {
+        let is_awaited = |request: &SentRequest| {
+            request.address == address && now_ms < request.sent_at_ms + RESPONSE_TIMEOUT_MS
         };
-        if !self.open.get(&number).is_some_and(is_awaited) {
+        if !self.sent.get(&request_id).is_some_and(is_awaited) {
             return false;
         }
-        self.open.remove(&number).is_some()
+        self.sent.remove(&request_id).is_some()
     }
 
-    /// How many questions are kept.
+    /// How many requests are kept.
     pub fn len(&self) -> usize {
-        self.open.len()
+        self.sent.len()
     }
 
+    /// Whether none is kept.
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.sent.is_empty()
     }
 }
--- a/directory/tests/common/mod.rs
+++ b/directory/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Directory nodes within the test's process, each reached by a relay that can hold
-//! forwarded proposals back, as a cut does.
+//! forwarded proposals back, as a network partition does.
 
 use consensus::node::Timing;
 use directory::{ControlPlane, Extensions, RuntimeFlavor, Settings};
@@ -31,23 +31,23 @@
 }"#;
 
 /// A forwarded proposal that a relay holds back.
-pub struct HeldProposal {
+pub struct DelayedProposal {
     from: u64,
-    pub number: u64,
+    pub request_id: u64,
     pub validity: Validity,
-    pub question: PeerRequest,
+    pub request: PeerRequest,
     way: Arc<Mutex<OwnedWriteHalf>>,
 }
 
-impl HeldProposal {
-    /// Lets it go on, as the cut's end would, with another validity if need be.
+impl DelayedProposal {
+    /// Lets it go on, as the partition's end would, with another validity if need be.
     pub async fn release(&self, validity: Validity) {
-        let (from, number, question) = (self.from, self.number, self.question.clone());
+        let (from, request_id, request) = (self.from, self.request_id, self.request.clone());
         let frame = Frame::PeerRequest {
             from,
-            request_id: number,
+            request_id,
             validity,
-            request: question,
+            request,
         };
         let bytes = protocol::encode(&frame);
         self.way
@@ -62,12 +62,12 @@
 /// What becomes of a frame on its way.
 pub type Filter = Box<dyn FnMut(Frame) -> Vec<Frame> + Send>;
 
-/// What the relays see. Frames keep their order, but for those held back.
+/// What the relays see. Frames keep their order, but for those that are delayed.
 struct Relay {
     filter: parking_lot::Mutex<Filter>,
-    is_holding: AtomicBool,
-    held: mpsc::UnboundedSender<HeldProposal>,
-    replies: mpsc::UnboundedSender<(u64, PeerResponse)>,
+    is_delaying: AtomicBool,
+    delayed: mpsc::UnboundedSender<DelayedProposal>,
+    responses: mpsc::UnboundedSender<(u64, PeerResponse)>,
 }
 
 impl Relay {
@@ -107,27 +107,27 @@
         match frame {
             Frame::PeerRequest {
                 from,
-                request_id: number,
+                request_id,
                 validity,
-                request: question @ PeerRequest::Propose(_),
-            } if self.is_holding.load(Ordering::SeqCst) => {
+                request: request @ PeerRequest::Propose(_),
+            } if self.is_delaying.load(Ordering::SeqCst) => {
                 let way = Arc::clone(way);
-                let held = HeldProposal {
+                let delayed = DelayedProposal {
                     from,
-                    number,
+                    request_id,
                     validity,
-                    question,
+                    request,
                     way,
                 };
-                drop(self.held.send(held));
+                drop(self.delayed.send(delayed));
                 None
             }
             Frame::PeerResponse {
-                request_id: number,
-                response: ref reply,
+                request_id,
+                ref response,
                 ..
             } => {
-                drop(self.replies.send((number, reply.clone())));
+                drop(self.responses.send((request_id, response.clone())));
                 Some(frame)
             }
             frame => Some(frame),
@@ -140,8 +140,8 @@
     folder: PathBuf,
     pub control_planes: Vec<Arc<ControlPlane>>,
     relay: Arc<Relay>,
-    held: mpsc::UnboundedReceiver<HeldProposal>,
-    replies: mpsc::UnboundedReceiver<(u64, PeerResponse)>,
+    delayed: mpsc::UnboundedReceiver<DelayedProposal>,
+    responses: mpsc::UnboundedReceiver<(u64, PeerResponse)>,
 }
 
 impl Drop for Nodes {
@@ -156,16 +156,16 @@
         let at = |node: usize, port| SocketAddr::from(([127, 83, net, 10 + node as u8], port));
         let folder = format!("rushport-orders-{}-{net}", std::process::id());
         let folder = std::env::temp_dir().join(folder);
-        let (held_in, held) = mpsc::unbounded_channel();
-        let (replies_in, replies) = mpsc::unbounded_channel();
-        let is_holding = AtomicBool::new(false);
+        let (delayed_sender, delayed) = mpsc::unbounded_channel();
+        let (responses_sender, responses) = mpsc::unbounded_channel();
+        let is_delaying = AtomicBool::new(false);
         let filter: Filter = Box::new(|frame| vec![frame]);
         let filter = parking_lot::Mutex::new(filter);
         let relay = Arc::new(Relay {
             filter,
-            is_holding,
-            held: held_in,
-            replies: replies_in,
+            is_delaying,
+            delayed: delayed_sender,
+            responses: responses_sender,
         });
         let mut control_planes = Vec::new();
         for node in 0..NODES {
@@ -195,29 +195,29 @@
                 quota_margin: None,
                 runtime: RuntimeFlavor::CurrentThread,
             };
-            let (begun, has_begun) = tokio::sync::oneshot::channel();
-            let begun: directory::OnStart =
-                Box::new(move |control_plane| drop(begun.send(control_plane)));
+            let (started, has_started) = tokio::sync::oneshot::channel();
+            let started: directory::OnStart =
+                Box::new(move |control_plane| drop(started.send(control_plane)));
             let extensions = Extensions {
-                on_start: Some(begun),
+                on_start: Some(started),
                 ..Extensions::default()
             };
             std::thread::spawn(move || directory::run(settings, extensions).expect("it runs"));
-            control_planes.push(has_begun.await.expect("it starts"));
+            control_planes.push(has_started.await.expect("it starts"));
         }
         let nodes = Nodes {
             folder,
             control_planes,
             relay,
-            held,
-            replies,
+            delayed,
+            responses,
         };
         let command = Command::UpdateTopology {
             mode: residency::UpdateMode::Replace,
             text: TOPOLOGY.into(),
         };
         nodes
-            .must(&nodes.control_planes[0], "topology", command)
+            .apply(&nodes.control_planes[0], "topology", command)
             .await;
         nodes
     }
@@ -241,39 +241,39 @@
         }
     }
 
-    /// Orders until it is taken.
-    pub async fn must(&self, control_plane: &ControlPlane, id: &str, command: Command) {
-        let order = control_plane.execute(id.into(), command, PATIENCE, PATIENCE);
-        let reply = order.await;
-        assert!(reply.is_ok(), "{id}: {reply:?}");
+    /// Executes a command until it is applied.
+    pub async fn apply(&self, control_plane: &ControlPlane, id: &str, command: Command) {
+        let execution = control_plane.execute(id.into(), command, PATIENCE, PATIENCE);
+        let response = execution.await;
+        assert!(response.is_ok(), "{id}: {response:?}");
     }
 
     pub fn set_filter(&self, filter: Filter) {
         *self.relay.filter.lock() = filter;
     }
 
-    pub fn hold(&self, is_holding: bool) {
-        self.relay.is_holding.store(is_holding, Ordering::SeqCst);
+    pub fn delay_proposals(&self, is_delaying: bool) {
+        self.relay.is_delaying.store(is_delaying, Ordering::SeqCst);
     }
 
-    pub async fn next_held(&mut self) -> HeldProposal {
-        let next = tokio::time::timeout(PATIENCE, self.held.recv()).await;
+    pub async fn next_delayed(&mut self) -> DelayedProposal {
+        let next = tokio::time::timeout(PATIENCE, self.delayed.recv()).await;
         next.expect("something is submitted")
             .expect("the relays are there")
     }
 
-    /// Those that were held back and not looked at so far.
-    pub fn others_held(&mut self) -> Vec<HeldProposal> {
-        std::iter::from_fn(|| self.held.try_recv().ok()).collect()
+    /// Those that were delayed and not looked at so far.
+    pub fn other_delayed(&mut self) -> Vec<DelayedProposal> {
+        std::iter::from_fn(|| self.delayed.try_recv().ok()).collect()
     }
 
-    /// What the leader says to a question of this number from now on.
-    pub async fn reply_to(&mut self, number: u64) -> PeerResponse {
+    /// What the leader says to the request of this id from now on.
+    pub async fn response_to(&mut self, request_id: u64) -> PeerResponse {
         let next = async {
             loop {
-                let (to, reply) = self.replies.recv().await.expect("the relays are there");
-                if to == number {
-                    return reply;
+                let (to, response) = self.responses.recv().await.expect("the relays are there");
+                if to == request_id {
+                    return response;
                 }
             }
         };
--- a/directory/tests/leader_clock.rs
+++ b/directory/tests/leader_clock.rs
@@ -17,7 +17,7 @@
 }
 
 /// Guards: however far the clocks are apart and however long replies travel, a
-/// question is never acted on past its asker's patience, and it is in time if it
+/// request is never acted on past its asker's patience, and it is in time if it
 /// travels no longer than the patience less the way of the quickest reply.
 #[test]
 fn a_deadline_holds_across_clocks() {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_question_counts_in_the_term_it_was_asked_in() {
+fn a_request_is_valid_in_the_term_it_was_made_in() {
     let confirm = PeerRequest::ReadIndex {
         demands: Vec::new(),
     };
@@ -75,12 +75,12 @@
         (confirm.clone(), TERM, 0, true),
         (confirm, TERM - 1, 0, false),
     ];
-    for (question, term, deadline_ms, wanted) in cases {
+    for (request, term, deadline_ms, wanted) in cases {
         let validity = Validity { term, deadline_ms };
         assert_eq!(
-            is_valid(&question, validity, TERM, 100),
+            is_valid(&request, validity, TERM, 100),
             wanted,
-            "{question:?} {validity:?}"
+            "{request:?} {validity:?}"
         );
     }
 }
--- a/directory/tests/operator_commands.rs
+++ b/directory/tests/operator_commands.rs
@@ -1,4 +1,4 @@
-//! Orders that a cut holds back on their way to the leader.
+//! Commands that a network partition delays on their way to the leader.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A deadline that no cut is longer than.
+/// A deadline that no partition is longer than.
 const NEVER_MS: u64 = u64::MAX;
 
 fn evacuate() -> Command {
@@ -21,38 +21,39 @@
     Command::ReinstateZone(Name::from("n-a"))
 }
 
-/// Guards: an evacuation that a cut held back, and whose caller has gone, does not
-/// empty the zone again after the operator took it back: the log refuses it by what
-/// it was built on, and the leader by its term and by its deadline.
+/// Guards: an evacuation that a partition delayed, and whose client has gone, does not
+/// evacuate the zone again after the operator reinstated it: the log rejects it by its
+/// base, and the leader by its term and by its deadline.
 #[tokio::test]
-async fn a_late_evacuation_empties_nothing() {
+async fn a_delayed_evacuation_changes_nothing() {
     let mut nodes = Nodes::start(1).await;
     let (leader, follower) = nodes.roles().await;
-    nodes.hold(true);
-    let order = tokio::spawn(async move {
+    nodes.delay_proposals(true);
+    let pending = tokio::spawn(async move {
         follower
-            .execute("held".into(), evacuate(), PATIENCE, PATIENCE)
+            .execute("delayed".into(), evacuate(), PATIENCE, PATIENCE)
             .await
     });
-    let held = nodes.next_held().await;
-    order.abort();
-    nodes.hold(false);
-    nodes.must(&leader, "by another way", evacuate()).await;
+    let delayed = nodes.next_delayed().await;
+    pending.abort();
+    nodes.delay_proposals(false);
+    nodes.apply(&leader, "by another way", evacuate()).await;
     assert!(nodes.is_evacuated("n-a").await);
-    nodes.must(&leader, "taken back", reinstate()).await;
+    nodes.apply(&leader, "reinstated", reinstate()).await;
 
-    let Validity { term, deadline_ms } = held.validity;
+    let Validity { term, deadline_ms } = delayed.validity;
     assert_eq!(Some(term), leader.leader_term());
     assert!(deadline_ms > 0, "the leader's clock is known by then");
-    held.release(Validity {
-        term,
-        deadline_ms: NEVER_MS,
-    })
-    .await;
-    let reply = nodes.reply_to(held.number).await;
+    delayed
+        .release(Validity {
+            term,
+            deadline_ms: NEVER_MS,
+        })
+        .await;
+    let response = nodes.response_to(delayed.request_id).await;
     assert!(
-        matches!(reply, PeerResponse::Proposed(Outcome::Conflict { .. })),
-        "{reply:?}"
+        matches!(response, PeerResponse::Proposed(Outcome::Conflict { .. })),
+        "{response:?}"
     );
     for validity in [
         Validity {
@@ -72,9 +73,9 @@
             deadline_ms: transport::now(),
         },
     ] {
-        held.release(validity).await;
+        delayed.release(validity).await;
         assert_eq!(
-            nodes.reply_to(held.number).await,
+            nodes.response_to(delayed.request_id).await,
             PeerResponse::NotLeader,
             "{validity:?}"
         );
@@ -82,78 +83,80 @@
     assert!(!nodes.is_evacuated("n-a").await);
 }
 
-/// Guards: the end of an evacuation that a cut held back does not undo a newer
-/// evacuation, also if that one found the zone evacuated already.
+/// Guards: a reinstatement that a partition delayed does not undo a newer evacuation,
+/// also if that one found the zone evacuated already.
 #[tokio::test]
-async fn a_late_end_undoes_nothing() {
+async fn a_delayed_reinstatement_undoes_nothing() {
     let mut nodes = Nodes::start(2).await;
     let (leader, follower) = nodes.roles().await;
-    nodes.must(&leader, "first", evacuate()).await;
-    nodes.hold(true);
-    let order = tokio::spawn(async move {
+    nodes.apply(&leader, "first", evacuate()).await;
+    nodes.delay_proposals(true);
+    let pending = tokio::spawn(async move {
         follower
-            .execute("held".into(), reinstate(), PATIENCE, PATIENCE)
+            .execute("delayed".into(), reinstate(), PATIENCE, PATIENCE)
             .await
     });
-    let held = nodes.next_held().await;
-    order.abort();
-    nodes.hold(false);
-    nodes.must(&leader, "second", evacuate()).await;
-    held.release(Validity {
-        deadline_ms: NEVER_MS,
-        ..held.validity
-    })
-    .await;
-    let reply = nodes.reply_to(held.number).await;
+    let delayed = nodes.next_delayed().await;
+    pending.abort();
+    nodes.delay_proposals(false);
+    nodes.apply(&leader, "second", evacuate()).await;
+    delayed
+        .release(Validity {
+            deadline_ms: NEVER_MS,
+            ..delayed.validity
+        })
+        .await;
+    let response = nodes.response_to(delayed.request_id).await;
     assert!(
-        matches!(reply, PeerResponse::Proposed(Outcome::Conflict { .. })),
-        "{reply:?}"
+        matches!(response, PeerResponse::Proposed(Outcome::Conflict { .. })),
+        "{response:?}"
     );
     assert!(nodes.is_evacuated("n-a").await);
 }
 
-/// Guards: an order is never refused for being late. Its caller still waits, so it is
-/// built anew on what is in force by then.
+/// Guards: a command is never rejected for being late. Its client still waits, so it is
+/// rebuilt on what is in force by then.
 #[tokio::test]
-async fn an_order_whose_caller_waits_is_decided_anew() {
+async fn a_command_whose_client_waits_is_rebuilt() {
     let mut nodes = Nodes::start(3).await;
     let (leader, follower) = nodes.roles().await;
-    nodes.hold(true);
-    let order = tokio::spawn(async move {
+    nodes.delay_proposals(true);
+    let pending = tokio::spawn(async move {
         follower
-            .execute("held".into(), evacuate(), PATIENCE, PATIENCE)
+            .execute("delayed".into(), evacuate(), PATIENCE, PATIENCE)
             .await
     });
-    let held = nodes.next_held().await;
-    nodes.must(&leader, "by another way", evacuate()).await;
-    nodes.must(&leader, "taken back", reinstate()).await;
-    nodes.hold(false);
-    held.release(Validity {
-        deadline_ms: NEVER_MS,
-        ..held.validity
-    })
-    .await;
-    let reply = nodes.reply_to(held.number).await;
+    let delayed = nodes.next_delayed().await;
+    nodes.apply(&leader, "by another way", evacuate()).await;
+    nodes.apply(&leader, "reinstated", reinstate()).await;
+    nodes.delay_proposals(false);
+    delayed
+        .release(Validity {
+            deadline_ms: NEVER_MS,
+            ..delayed.validity
+        })
+        .await;
+    let response = nodes.response_to(delayed.request_id).await;
     assert!(
-        matches!(reply, PeerResponse::Proposed(Outcome::Conflict { .. })),
-        "{reply:?}"
+        matches!(response, PeerResponse::Proposed(Outcome::Conflict { .. })),
+        "{response:?}"
     );
-    let reply = order.await.expect("nobody panics");
+    let response = pending.await.expect("nobody panics");
     assert!(
         matches!(
-            reply,
+            response,
             Ok(Committed {
                 is_repeated: false,
                 ..
             })
         ),
-        "{reply:?}"
+        "{response:?}"
     );
     assert!(nodes.is_evacuated("n-a").await);
     // A repeat of it is known, and changes nothing that came after.
-    nodes.must(&leader, "taken back again", reinstate()).await;
+    nodes.apply(&leader, "reinstated again", reinstate()).await;
     let again = leader
-        .execute("held".into(), evacuate(), PATIENCE, PATIENCE)
+        .execute("delayed".into(), evacuate(), PATIENCE, PATIENCE)
         .await;
     assert!(
         matches!(
@@ -168,106 +171,111 @@
     assert!(!nodes.is_evacuated("n-a").await);
 }
 
-/// Guards: who has waited in vain for longer than the time for contact may have gone to
-/// another node, and on to an order to the contrary; its order is not decided anew.
+/// Guards: a client that has waited in vain for longer than the time for the read barrier
+/// may have gone to another node, and on to a command to the contrary; its command is not
+/// rebuilt.
 #[tokio::test]
-async fn an_order_that_waited_too_long_is_not_decided_anew() {
+async fn a_command_that_waited_too_long_is_not_rebuilt() {
     let mut nodes = Nodes::start(7).await;
     let (leader, follower) = nodes.roles().await;
-    nodes.hold(true);
+    nodes.delay_proposals(true);
     let contact = Duration::from_millis(500);
-    let order = tokio::spawn(async move {
+    let pending = tokio::spawn(async move {
         follower
-            .execute("held".into(), evacuate(), contact, PATIENCE)
+            .execute("delayed".into(), evacuate(), contact, PATIENCE)
             .await
     });
-    let held = nodes.next_held().await;
-    // By now the time for contact has begun, and is over so much later.
-    let begun = transport::now();
+    let delayed = nodes.next_delayed().await;
+    // By now the time for the barrier has started, and is over so much later.
+    let started = transport::now();
     let mut turn = 0;
-    while turn == 0 || transport::now() <= begun + contact.as_millis() as u64 {
+    while turn == 0 || transport::now() <= started + contact.as_millis() as u64 {
         nodes
-            .must(&leader, &format!("evacuated {turn}"), evacuate())
+            .apply(&leader, &format!("evacuated {turn}"), evacuate())
             .await;
         nodes
-            .must(&leader, &format!("taken back {turn}"), reinstate())
+            .apply(&leader, &format!("reinstated {turn}"), reinstate())
             .await;
         turn += 1;
     }
-    nodes.hold(false);
-    held.release(Validity {
-        deadline_ms: NEVER_MS,
-        ..held.validity
-    })
-    .await;
-    let reply = nodes.reply_to(held.number).await;
+    nodes.delay_proposals(false);
+    delayed
+        .release(Validity {
+            deadline_ms: NEVER_MS,
+            ..delayed.validity
+        })
+        .await;
+    let response = nodes.response_to(delayed.request_id).await;
     assert!(
-        matches!(reply, PeerResponse::Proposed(Outcome::Conflict { .. })),
-        "{reply:?}"
+        matches!(response, PeerResponse::Proposed(Outcome::Conflict { .. })),
+        "{response:?}"
     );
-    let reply = order.await.expect("nobody panics");
+    let response = pending.await.expect("nobody panics");
     assert_eq!(
-        reply,
+        response,
         Err(CommandError::NoLeader),
-        "it is asked to send the order again"
+        "it is asked to send the command again"
     );
     assert!(!nodes.is_evacuated("n-a").await);
 }
 
-/// Guards: once its caller's patience has ended, nothing more is submitted for an
-/// order, and what is still on its way is void by its deadline.
+/// Guards: once its client's time-out has ended, nothing more is submitted for a command,
+/// and what is still on its way is void by its deadline.
 #[tokio::test]
-async fn past_its_callers_patience_an_order_is_void() {
+async fn past_its_clients_timeout_a_command_is_void() {
     let mut nodes = Nodes::start(4).await;
     let (leader, follower) = nodes.roles().await;
-    nodes.hold(true);
+    nodes.delay_proposals(true);
     let patience = Duration::from_millis(2_000);
     let asked = transport::now();
-    let reply = follower
-        .execute("held".into(), evacuate(), PATIENCE, patience)
+    let response = follower
+        .execute("delayed".into(), evacuate(), PATIENCE, patience)
         .await;
     let ended = transport::now();
     let is_outcome = matches!(
-        reply,
+        response,
         Ok(_) | Err(CommandError::Conflict { .. } | CommandError::Rejected { .. })
     );
-    assert!(!is_outcome, "{reply:?}");
-    let mut held = vec![nodes.next_held().await];
-    held.extend(nodes.others_held());
-    nodes.hold(false);
+    assert!(!is_outcome, "{response:?}");
+    let mut delayed = vec![nodes.next_delayed().await];
+    delayed.extend(nodes.other_delayed());
+    nodes.delay_proposals(false);
     let until = asked + patience.as_millis() as u64;
-    for held in &held {
+    for delayed in &delayed {
         assert!(
-            held.validity.deadline_ms <= until,
+            delayed.validity.deadline_ms <= until,
             "nodes of one process share a clock"
         );
     }
     assert!(ended >= until);
-    for held in &held {
-        held.release(held.validity).await;
-        assert_eq!(nodes.reply_to(held.number).await, PeerResponse::NotLeader);
+    for delayed in &delayed {
+        delayed.release(delayed.validity).await;
+        assert_eq!(
+            nodes.response_to(delayed.request_id).await,
+            PeerResponse::NotLeader
+        );
     }
     // What the follower submits next is something else.
-    nodes.hold(true);
+    nodes.delay_proposals(true);
     let next = Arc::clone(&follower);
-    let order = tokio::spawn(async move {
+    let pending = tokio::spawn(async move {
         next.execute("next".into(), reinstate(), PATIENCE, PATIENCE)
             .await
     });
-    let PeerRequest::Propose(proposal) = nodes.next_held().await.question else {
-        panic!("proposals alone are held")
+    let PeerRequest::Propose(proposal) = nodes.next_delayed().await.request else {
+        panic!("proposals alone are delayed")
     };
     assert_eq!(proposal.id, "next");
-    order.abort();
-    nodes.hold(false);
+    pending.abort();
+    nodes.delay_proposals(false);
     assert!(!nodes.is_evacuated("n-a").await);
     drop(leader);
 }
 
 /// Guards: a leader that has not committed in its own term yet, and so may not know
-/// what former leaders committed, refuses nothing by its own state.
+/// what former leaders committed, rejects nothing by its own state.
 #[tokio::test]
-async fn a_new_leader_refuses_nothing_by_an_old_state() {
+async fn a_new_leader_rejects_nothing_by_old_state() {
     let nodes = Nodes::start(6).await;
     let (leader, next) = nodes.roles().await;
     let (leader_id, next_id) = (leader.member.identity, next.member.identity);
@@ -301,11 +309,11 @@
         mode: residency::UpdateMode::Patch,
         text: text.into(),
     };
-    nodes.must(&leader, "a zone more", revise).await;
+    nodes.apply(&leader, "a zone more", revise).await;
     assert!(third.read_barrier_within(PATIENCE).await);
     let base = third.with_state(|state| state.epoch());
     assert!(base > known);
-    // It takes over, and no response tells it of a majority before the order is there.
+    // It takes over, and no response tells it of a majority before the command is there.
     let mut is_asked = false;
     nodes.set_filter(Box::new(move |frame| match frame {
         Frame::Consensus(Message {
@@ -356,23 +364,23 @@
         known,
         "it knows nothing of the zone yet"
     );
-    let reply = third.submit(proposal, PATIENCE).await;
+    let response = third.submit(proposal, PATIENCE).await;
     assert!(
         matches!(
-            reply,
+            response,
             Ok(Committed {
                 is_repeated: false,
                 ..
             })
         ),
-        "{reply:?}"
+        "{response:?}"
     );
 }
 
 /// Guards: what a node found due while it led is not proposed in another term, nor by
 /// another leader in its place.
 #[tokio::test]
-async fn what_a_leader_finds_due_counts_in_its_term() {
+async fn what_a_leader_finds_due_is_proposed_in_its_term_only() {
     let nodes = Nodes::start(5).await;
     let (leader, follower) = nodes.roles().await;
     let term = leader.leader_term().expect("it leads");
@@ -382,22 +390,22 @@
         command: Command::SetRouterCount(3),
     };
     for (control_plane, term) in [(&leader, term - 1), (&leader, term + 1), (&follower, term)] {
-        let reply = control_plane
+        let response = control_plane
             .submit_as_leader(proposal("late"), term, PATIENCE)
             .await;
-        assert_eq!(reply, Err(CommandError::NoLeader));
+        assert_eq!(response, Err(CommandError::NoLeader));
     }
-    let reply = leader
+    let response = leader
         .submit_as_leader(proposal("due"), term, PATIENCE)
         .await;
     assert!(
         matches!(
-            reply,
+            response,
             Ok(Committed {
                 is_repeated: false,
                 ..
             })
         ),
-        "{reply:?}"
+        "{response:?}"
     );
 }
