--- a/directory/src/forwarded_requests/serve.rs
+++ b/directory/src/forwarded_requests/serve.rs
@@ -99,7 +99,7 @@
     head: &ForwardedRequest,
     mapping: &Mapping,
 ) -> Result<(), Rejection> {
-    if head.is_quota_charged != 0 {
+    if head.is_quota_charged {
         return Ok(());
     }
     let view = control.view();
--- a/directory/src/operator_api/status.rs
+++ b/directory/src/operator_api/status.rs
@@ -115,7 +115,7 @@
         "door": router.client_address.clone(),
         "epoch": router.epoch,
         "age_ms": router.age_ms,
-        "leaving": router.is_draining != 0,
+        "leaving": router.is_draining,
     })
 }
 
--- a/placement/src/router_membership.rs
+++ b/placement/src/router_membership.rs
@@ -72,7 +72,7 @@
     /// The update that changes nothing.
     pub fn empty_update(&self) -> RegistryUpdate {
         RegistryUpdate {
-            is_full: u8::from(!self.has_begun),
+            is_full: !self.has_begun,
             routers: Vec::new(),
             removed_routers: Vec::new(),
             directory_nodes: Vec::new(),
@@ -81,7 +81,7 @@
 
     /// Applies an update.
     pub fn apply(&mut self, update: &RegistryUpdate) {
-        if update.is_full != 0 {
+        if update.is_full {
             *self = RouterMembership::default();
         }
         self.has_begun = true;
--- a/placement/tests/router_membership.rs
+++ b/placement/tests/router_membership.rs
@@ -13,7 +13,7 @@
         peer_address: format!("127.0.0.{number}:2"),
         epoch,
         age_ms,
-        is_draining: is_leaving.into(),
+        is_draining: is_leaving,
     }
 }
 
@@ -29,7 +29,7 @@
     (1..=count).map(member).collect()
 }
 
-fn said(company: &RouterMembership) -> Vec<(String, String, bool, u8)> {
+fn said(company: &RouterMembership) -> Vec<(String, String, bool, bool)> {
     let said = |front: &RouterStatus| {
         (
             front.name.clone(),
@@ -62,7 +62,7 @@
                 1 if !there.is_empty() => drop(there.remove(draw(there.len() as u64) as usize)),
                 2 if !there.is_empty() => {
                     let at = draw(there.len() as u64) as usize;
-                    there[at].is_draining = 1 - there[at].is_draining;
+                    there[at].is_draining = !there[at].is_draining;
                 }
                 3 if !there.is_empty() => {
                     let at = draw(there.len() as u64) as usize;
@@ -108,11 +108,11 @@
             first.routers.len(),
             first.directory_nodes.len()
         ),
-        (1, 350, 8)
+        (true, 350, 8)
     );
     node.apply(&first);
     let nothing = RegistryUpdate {
-        is_full: 0,
+        is_full: false,
         routers: Vec::new(),
         removed_routers: Vec::new(),
         directory_nodes: Vec::new(),
--- /dev/null
+++ b/protocol/src/codec.rs
@@ -0,0 +1,116 @@
+//! Frames to bytes and back, and the limits of their lengths.
+
+use crate::{Frame, FrameError};
+use binrw::{BinRead, BinResult, BinWrite, Endian};
+use consensus::codec::to_bytes;
+use std::io::{Cursor, ErrorKind};
+
+/// Longest frame in bytes, on any connection. What a frame holds takes several times
+/// its length in memory.
+pub const MAX_FRAME_BYTES: usize = 64 << 20;
+
+/// Bytes of the length before each frame.
+pub const LENGTH_BYTES: usize = 4;
+
+/// A frame as it goes over a connection: its length, then its content.
+pub fn encode(frame: &Frame) -> Vec<u8> {
+    let content = to_bytes(frame);
+    let mut bytes = (content.len() as u32).to_be_bytes().to_vec();
+    bytes.extend(content);
+    bytes
+}
+
+/// The length of the frame that follows, in bytes.
+///
+/// # Errors
+/// [`FrameError::TooLong`] where it is more than `limit_bytes`.
+pub fn decode_length(length: [u8; LENGTH_BYTES], limit_bytes: usize) -> Result<usize, FrameError> {
+    let length_bytes = u32::from_be_bytes(length) as usize;
+    if length_bytes > limit_bytes {
+        return Err(FrameError::TooLong {
+            length_bytes,
+            limit_bytes,
+        });
+    }
+    Ok(length_bytes)
+}
+
+/// Reads the content of one frame, without its length. A frame must fill `content` to
+/// the last byte.
+///
+/// # Errors
+/// [`FrameError::Empty`], [`FrameError::UnknownKind`], [`FrameError::Incomplete`],
+/// [`FrameError::Malformed`] and [`FrameError::TrailingBytes`].
+pub fn decode(content: &[u8]) -> Result<Frame, FrameError> {
+    let kind = *content.first().ok_or(FrameError::Empty)?;
+    let mut cursor = Cursor::new(content);
+    let frame = Frame::read_options(&mut cursor, Endian::Big, ())
+        .map_err(|error| describe(kind, content.len(), error))?;
+    let expected_bytes = cursor.position() as usize;
+    if expected_bytes < content.len() {
+        return Err(FrameError::TrailingBytes {
+            kind,
+            expected_bytes,
+            seen_bytes: content.len(),
+        });
+    }
+    Ok(frame)
+}
+
+/// Tells the cause out of binrw's error, which lists all variants that were tried.
+fn describe(kind: u8, seen_bytes: usize, error: binrw::Error) -> FrameError {
+    match error {
+        binrw::Error::Backtrace(backtrace) => describe(kind, seen_bytes, *backtrace.error),
+        binrw::Error::EnumErrors { variant_errors, .. } => {
+            let is_other_kind =
+                |error: &binrw::Error| matches!(error, binrw::Error::BadMagic { .. });
+            let mut causes = variant_errors.into_iter().map(|(_, error)| error);
+            match causes.find(|error| !is_other_kind(error)) {
+                Some(cause) => describe(kind, seen_bytes, cause),
+                None => FrameError::UnknownKind { seen: kind },
+            }
+        }
+        binrw::Error::Io(error) if error.kind() == ErrorKind::UnexpectedEof => {
+            FrameError::Incomplete { kind, seen_bytes }
+        }
+        other => FrameError::Malformed {
+            kind,
+            reason: other.to_string().replace('\n', " "),
+        },
+    }
+}
+
+/// Reads a flag: one byte, 0 for false.
+#[binrw::parser(reader, endian)]
+pub(crate) fn read_flag() -> BinResult<bool> {
+    Ok(u8::read_options(reader, endian, ())? != 0)
+}
+
+/// Writes a flag as `read_flag` reads it.
+#[binrw::writer(writer, endian)]
+pub(crate) fn write_flag(flag: &bool) -> BinResult<()> {
+    u8::from(*flag).write_options(writer, endian, ())
+}
+
+/// The name under which frames of a kind are counted (`GET /traffic`).
+pub fn kind_name(kind: u8) -> &'static str {
+    match kind {
+        1 => "hello",
+        2 => "refused",
+        10 => "log",
+        11 => "ask",
+        12 => "reply",
+        13 => "fronts",
+        14..=16 => "join",
+        20 => "beat",
+        21 => "lease",
+        22 => "picture",
+        23 => "change",
+        24 => "company",
+        25 => "resolve",
+        26 => "resolved",
+        30..=39 => "job",
+        40..=42 => "cache",
+        _ => "unknown",
+    }
+}
--- a/protocol/tests/formats/frames.rs
+++ b/protocol/tests/formats/frames.rs
@@ -255,7 +255,7 @@
         peer_address: "10.0.0.3:7362".into(),
         epoch: 9,
         age_ms: 5,
-        is_draining: 0,
+        is_draining: false,
     }
 }
 
@@ -434,7 +434,7 @@
             events: events(),
         },
         Frame::RegistryUpdate(RegistryUpdate {
-            is_full: 1,
+            is_full: true,
             routers: vec![front()],
             removed_routers: vec![name("edge-2")],
             directory_nodes: vec![member(1)],
@@ -480,7 +480,7 @@
             client_region: "north".into(),
             epoch: 9,
             remaining_ms: 500,
-            is_quota_charged: 1,
+            is_quota_charged: true,
         }),
         Frame::RequestBody(b"{\"prompt\":\"x\"}".to_vec()),
         Frame::RequestEnd,
@@ -517,7 +517,7 @@
         Frame::CacheStore(mapping()),
         Frame::LoadGossip {
             from: "edge-1".into(),
-            is_relayed: 0,
+            is_relayed: false,
             loads: vec![EngineLoad {
                 engine: "i-1".into(),
                 requests: 3,
@@ -555,7 +555,7 @@
     );
     match frame {
         Ok(frame) => assert_eq!(decode(&encode(&frame)[4..]).as_ref(), Ok(&frame)),
-        Err(text) => assert!(!text.is_empty()),
+        Err(error) => assert!(!error.to_string().is_empty()),
     }
 }
 
--- a/router/src/forward.rs
+++ b/router/src/forward.rs
@@ -164,7 +164,7 @@
         client_region: router.settings.region.clone(),
         epoch: router.view.borrow().epoch,
         remaining_ms: parts.deadline_ms.saturating_sub(now()),
-        is_quota_charged: permit.is_some().into(),
+        is_quota_charged: permit.is_some(),
     };
     link::send(&mut writer, &Frame::RequestHead(head)).await?;
     link::send(&mut writer, &Frame::RequestBody(carried.buffered.to_vec())).await?;
--- a/router/src/ingress.rs
+++ b/router/src/ingress.rs
@@ -726,7 +726,7 @@
     let membership = router.membership.read();
     let mut fronts: Vec<(u8, usize, u32, &protocol::RouterStatus)> = membership
         .fronts()
-        .filter(|front| front.is_draining == 0 && !view.evacuated.contains(&front.zone))
+        .filter(|front| !front.is_draining && !view.evacuated.contains(&front.zone))
         .filter_map(|front| {
             let home = homes.iter().position(|home| *home == front.region);
             let is_allowed = homes.is_empty() || home.is_some() || front.region == *region;
--- a/router/src/load_gossip.rs
+++ b/router/src/load_gossip.rs
@@ -23,7 +23,7 @@
 fn frame(from: &str, is_relayed: bool, news: &LoadUpdate) -> Frame {
     Frame::LoadGossip {
         from: from.into(),
-        is_relayed: is_relayed.into(),
+        is_relayed,
         loads: news.loads.clone(),
         cached_prefixes: news.cached_prefixes.clone(),
     }
--- a/router/src/membership.rs
+++ b/router/src/membership.rs
@@ -48,7 +48,7 @@
             .or(Some(at))
             .filter(|_| is_listed);
         self.told = at;
-        if news.is_full != 0 || !news.routers.is_empty() || !news.removed_routers.is_empty() {
+        if news.is_full || !news.routers.is_empty() || !news.removed_routers.is_empty() {
             let own = policy::stable_hash(name.as_bytes());
             let marks = self
                 .known
@@ -96,7 +96,7 @@
 pub fn neighbours(router: &Router) -> usize {
     let is_one = |front: &&RouterStatus| {
         front.region == router.settings.region
-            && front.is_draining == 0
+            && !front.is_draining
             && front.name != router.settings.name
     };
     router.membership.read().fronts().filter(is_one).count()
@@ -109,7 +109,7 @@
     let own = (router.settings.name.as_str(), None);
     let others = membership
         .fronts()
-        .filter(|front| front.region == router.settings.region && front.is_draining == 0)
+        .filter(|front| front.region == router.settings.region && !front.is_draining)
         .filter(|front| front.name != router.settings.name)
         .filter_map(|front| Some((front.name.as_str(), Some(front.peer_address.parse().ok()?))));
     let number = |text: &str| policy::stable_hash(text.as_bytes());
@@ -268,7 +268,7 @@
                 loads,
                 cached_prefixes: kept,
             } => {
-                crate::load_gossip::take(&router, &from, is_relayed != 0, loads, kept);
+                crate::load_gossip::take(&router, &from, is_relayed, loads, kept);
             }
             other => anyhow::bail!("an unexpected frame from a neighbour: {other:?}"),
         }
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -214,7 +214,7 @@
                     peer_address: boot.peer_address.to_string(),
                     epoch: router.view.borrow().epoch,
                     age_ms: 0,
-                    is_draining: router.is_draining.load(Ordering::Relaxed).into(),
+                    is_draining: router.is_draining.load(Ordering::Relaxed),
                 };
                 let demand = router.quota.lease_demands(&boot.name, number);
                 let frame = Frame::Heartbeat { router: front, demand };
--- a/testbed/src/simulated_router.rs
+++ b/testbed/src/simulated_router.rs
@@ -104,7 +104,7 @@
             peer_address: self.source.to_string(),
             epoch: self.replica.view().epoch,
             age_ms: 0,
-            is_draining: 0,
+            is_draining: false,
         }
     }
 
--- a/testbed/tests/failures.rs
+++ b/testbed/tests/failures.rs
@@ -383,7 +383,7 @@
             if bytes == other {
                 let frame = protocol::decode(&answer[4..]).expect("a frame");
                 assert!(
-                    matches!(&frame, protocol::Frame::Refused { text } if text.contains("wire epoch")),
+                    matches!(&frame, protocol::Frame::Refused { text } if text.contains("protocol version")),
                     "{frame:?}"
                 );
             }
--- a/testbed/tests/forwarding.rs
+++ b/testbed/tests/forwarding.rs
@@ -118,7 +118,7 @@
             operator_address: address,
         };
         let news = RegistryUpdate {
-            is_full: 1,
+            is_full: true,
             routers: Vec::new(),
             removed_routers: Vec::new(),
             directory_nodes: vec![member],
@@ -481,7 +481,7 @@
         client_region: "north".into(),
         epoch: 0,
         remaining_ms: left_ms,
-        is_quota_charged: 1,
+        is_quota_charged: true,
     };
     let mut frames = vec![Frame::RequestHead(head)];
     frames.extend((0..5).map(|_| Frame::RequestBody(vec![b'x'; 700])));
--- a/testbed/tests/partitioned_leader.rs
+++ b/testbed/tests/partitioned_leader.rs
@@ -271,7 +271,7 @@
         client_region: "north".into(),
         epoch: 0,
         remaining_ms: 30_000,
-        is_quota_charged: 1,
+        is_quota_charged: true,
     };
     link::send(&mut job, &Frame::RequestHead(head))
         .await
@@ -403,7 +403,7 @@
         peer_address: router.address().to_string(),
         epoch: 1,
         age_ms: 0,
-        is_draining: 0,
+        is_draining: false,
     };
     let demand = RouterDemand {
         router: router.name.clone(),
--- a/transport/src/link.rs
+++ b/transport/src/link.rs
@@ -1,7 +1,8 @@
 //! Framed TCP links between rushport's own processes.
 
 use anyhow::{anyhow, bail, Context};
-use protocol::{ConnectionKind, Frame};
+use protocol::codec::{decode_length, LENGTH_BYTES};
+use protocol::{ConnectionKind, Frame, FrameError};
 use std::net::SocketAddr;
 use std::time::Duration;
 use telemetry::traffic;
@@ -58,30 +59,36 @@
 }
 
 /// Reads one frame. `None`: the other side closed between frames.
+///
+/// # Errors
+/// A [`FrameError`] where the bytes are no frame, or an I/O error. The connection is of
+/// no use after either.
 pub async fn receive(
     from: &mut (impl AsyncRead + Unpin),
-    cap: usize,
+    max_bytes: usize,
 ) -> anyhow::Result<Option<Frame>> {
-    let mut length = [0; 4];
+    let mut length = [0; LENGTH_BYTES];
     if let Err(error) = from.read_exact(&mut length).await {
         return match error.kind() {
             std::io::ErrorKind::UnexpectedEof => Ok(None),
             _ => Err(error.into()),
         };
     }
-    let length = u32::from_be_bytes(length) as usize;
-    if length > cap {
-        bail!("a frame of {length} bytes is over the cap of {cap}");
-    }
-    let mut bytes = Vec::with_capacity(length.min(1 << 16));
-    let read = from.take(length as u64).read_to_end(&mut bytes).await?;
-    if read < length {
-        bail!("the connection ended within a frame");
+    let expected_bytes = decode_length(length, max_bytes)?;
+    let mut bytes = Vec::with_capacity(expected_bytes.min(1 << 16));
+    let seen_bytes = from
+        .take(expected_bytes as u64)
+        .read_to_end(&mut bytes)
+        .await?;
+    if seen_bytes < expected_bytes {
+        bail!(FrameError::Truncated {
+            expected_bytes,
+            seen_bytes,
+        });
     }
     traffic::count_received(&bytes);
-    protocol::decode(&bytes)
-        .map(Some)
-        .map_err(|text| anyhow!("an unreadable frame: {text}"))
+    let frame = protocol::decode(&bytes).context("an unreadable frame")?;
+    Ok(Some(frame))
 }
 
 /// Accepts connections for good, each served by a task of its own.
@@ -108,8 +115,8 @@
     }
 }
 
-/// Reads the hello of an accepted connection. Another epoch is refused in
-/// words, and the reason returned for the log.
+/// Reads the hello of an accepted connection. Another version of the protocol is
+/// refused with a text, and returned as [`FrameError::OtherVersion`].
 pub async fn accept_handshake(stream: &mut TcpStream) -> anyhow::Result<(ConnectionKind, String)> {
     stream.set_nodelay(true)?;
     let frame = tokio::time::timeout(
@@ -120,21 +127,16 @@
     .map_err(|_| anyhow!("no hello came"))??;
     match frame {
         Some(Frame::Hello {
-            version: protocol::VERSION,
+            version,
             kind,
             name,
-        }) => Ok((kind, name)),
-        Some(Frame::Hello {
-            version: epoch,
-            name,
-            ..
         }) => {
-            let text = format!(
-                "{name} speaks wire epoch {epoch}, this build speaks {} only",
-                protocol::VERSION
-            );
-            send(stream, &Frame::Refused { text: text.clone() }).await?;
-            Err(anyhow!(text))
+            if let Err(error) = protocol::check_version(&name, version) {
+                let text = error.to_string();
+                send(stream, &Frame::Refused { text }).await?;
+                return Err(error.into());
+            }
+            Ok((kind, name))
         }
         Some(_) => Err(anyhow!("the first frame is no hello")),
         None => Err(anyhow!("closed before a hello")),
--- a/transport/tests/link.rs
+++ b/transport/tests/link.rs
@@ -116,10 +116,10 @@
         let newer = protocol::encode(&hello(protocol::VERSION + 1));
         let cases: Vec<(Vec<u8>, Option<&str>)> = vec![
             (protocol::encode(&hello(protocol::VERSION)), None),
-            (newer.clone(), Some("wire epoch")),
+            (newer.clone(), Some("protocol version")),
             (
                 protocol::encode(&hello(protocol::VERSION - 1)),
-                Some("wire epoch"),
+                Some("protocol version"),
             ),
             (protocol::encode(&Frame::Ready), Some("no hello")),
             (newer[..newer.len() - 1].to_vec(), Some("within a frame")),
@@ -145,7 +145,7 @@
                     let text = greeted.expect_err(complaint).to_string();
                     assert!(text.contains(complaint), "{text}");
                     let is_refused = matches!(told, Ok(Some(Frame::Refused { .. })));
-                    assert_eq!(is_refused, complaint == "wire epoch", "{told:?}");
+                    assert_eq!(is_refused, complaint == "protocol version", "{told:?}");
                 }
             }
         }
