--- a/consensus/tests/model/cluster.rs
+++ b/consensus/tests/model/cluster.rs
@@ -9,7 +9,9 @@
 
 use crate::checker::Violation;
 use crate::history::{broken, History};
-use crate::server::{apply_write, holds, Server};
+use crate::server::{holds, Server};
+use crate::support::members;
+use crate::support::persisted::apply_write;
 
 pub const CLUSTER: u64 = 7;
 
@@ -31,12 +33,10 @@
 
 pub fn member(identity: NodeId, name: u64) -> Member {
     Member {
-        identity,
         name: format!("n{name}"),
         region: String::new(),
         zone: format!("z{}", name % 3),
-        address: String::new(),
-        operator_address: String::new(),
+        ..members::member(identity)
     }
 }
 
@@ -197,7 +197,7 @@
         crate::properties::check_state(self, at)
     }
 
-    /// TenantLimits never fall; a vote stands for its term.
+    /// Terms never fall; a vote is for one candidate of its term.
     pub fn write(
         &mut self,
         server: &mut Server,
--- a/consensus/tests/model/main.rs
+++ b/consensus/tests/model/main.rs
@@ -12,6 +12,8 @@
 mod properties;
 mod scenarios;
 mod server;
+#[path = "../support/mod.rs"]
+mod support;
 
 use actions::Scenario;
 use checker::{check, walk, Limits, Report};
--- a/consensus/tests/model/server.rs
+++ b/consensus/tests/model/server.rs
@@ -49,23 +49,6 @@
     }
 }
 
-/// Carries one record out on a log.
-pub fn apply_write(log: &mut PersistedState, write: &Write) {
-    match write {
-        Write::HardState(hard_state) => log.hard_state = *hard_state,
-        Write::Truncate(from) => log.entries.retain(|entry| entry.index < *from),
-        Write::Entry(entry) => log.entries.push(entry.clone()),
-        Write::InstallSnapshot(snapshot) => {
-            log.entries.clear();
-            log.snapshot = Some(snapshot.clone());
-        }
-        Write::Snapshot(snapshot) => {
-            log.entries.retain(|entry| entry.index > snapshot.index);
-            log.snapshot = Some(snapshot.clone());
-        }
-    }
-}
-
 /// Term and index of the last entry: what votes are compared by.
 pub fn last_of(log: &PersistedState) -> (Term, LogIndex) {
     let snapshot = log.snapshot.as_ref().map_or((0, 0), |s| (s.term, s.index));
--- a/consensus/tests/cut_leader/main.rs
+++ b/consensus/tests/partition/main.rs
@@ -3,19 +3,21 @@
 //! proposals put to every side of the cut throughout.
 
 mod cluster;
+#[path = "../support/mod.rs"]
+mod support;
 
 use cluster::*;
 use consensus::node::{Input, Role, Timing, Token};
 use consensus::Message;
 
 /// Every side of every cut, with messages dropped and with messages that come late.
-fn each(mut run: impl FnMut(Cluster, Cut, &str)) {
+fn for_each_partition(mut run: impl FnMut(Cluster, Partition, &str)) {
     for seed in [1, 200, 3_000] {
         for count in [3, 5] {
-            for cut in CUTS {
-                for loss in [Loss::Dropped, Loss::Late] {
-                    let what = format!("seed {seed}, {count} nodes, {cut:?}, {loss:?}");
-                    run(Cluster::new(count, seed, loss), cut, &what);
+            for partition in PARTITIONS {
+                for loss in [Loss::Dropped, Loss::Delayed] {
+                    let what = format!("seed {seed}, {count} nodes, {partition:?}, {loss:?}");
+                    run(Cluster::new(count, seed, loss), partition, &what);
                 }
             }
         }
@@ -28,31 +30,31 @@
 /// it took is never lost to them, and its return disturbs nobody.
 #[test]
 fn a_leader_that_is_cut_off_serves_nothing_old() {
-    each(|mut cluster, cut, what| {
+    for_each_partition(|mut cluster, partition, what| {
         let old = cluster.leader();
         let first = cluster.propose(old);
         cluster.run(1_000);
-        assert!(cluster.done.contains(&first), "{what}");
-        cluster.cut(old, cut);
-        let begun = cluster.now;
+        assert!(cluster.completed.contains(&first), "{what}");
+        cluster.partition(old, partition);
+        let begin = cluster.now;
         let (mut at_old, mut stepped_down, mut acknowledged) = (Vec::new(), None, 0);
-        while cluster.now < begun + CUT {
+        while cluster.now < begin + PARTITION_MS {
             let before = cluster.acknowledged;
             at_old.extend([cluster.read(old), cluster.propose(old)]);
-            if let Some(leader) = cluster.leader_but(Some(old)) {
+            if let Some(leader) = cluster.leader_outside(Some(old)) {
                 cluster.propose(leader);
                 cluster.read(leader);
             }
             cluster.run(50);
             acknowledged += usize::from(cluster.acknowledged > before);
             if cluster.node(old).role() != Role::Leader {
-                stepped_down.get_or_insert(cluster.now - begun);
+                stepped_down.get_or_insert(cluster.now - begin);
             } else {
                 assert!(stepped_down.is_none(), "{what}: it leads again");
             }
         }
-        cluster.none_done(&at_old, what);
-        let bound = Timing::default().election_timeout_ms + 4 * LATENCY + 50;
+        cluster.assert_none_completed(&at_old, what);
+        let bound = Timing::default().election_timeout_ms + 4 * LINK_DELAY_MS + 50;
         assert!(
             stepped_down.is_some_and(|after| after <= bound),
             "{what}: {stepped_down:?}"
@@ -62,18 +64,18 @@
             "{what}: the others acknowledged {acknowledged} times"
         );
         let leader = cluster
-            .leader_but(Some(old))
+            .leader_outside(Some(old))
             .expect("the others have a leader");
         let term = cluster.node(leader).term();
         cluster.heal();
-        cluster.agree();
+        cluster.assert_converges();
         assert_eq!(
             (cluster.leader(), cluster.node(old).term()),
             (leader, term),
             "{what}"
         );
-        cluster.none_done(&at_old, what);
-        let is_open = |token: &&Token| !cluster.refused.contains(token);
+        cluster.assert_none_completed(&at_old, what);
+        let is_open = |token: &&Token| !cluster.rejected.contains(token);
         let open: Vec<&Token> = at_old.iter().filter(is_open).collect();
         assert!(open.is_empty(), "{what}: nobody was told of {open:?}");
     });
@@ -83,7 +85,7 @@
 /// answers for the leader nor unseats it when it is back.
 #[test]
 fn a_follower_that_is_cut_off_disturbs_nobody() {
-    each(|mut cluster, cut, what| {
+    for_each_partition(|mut cluster, partition, what| {
         let leader = cluster.leader();
         let term = cluster.node(leader).term();
         let follower = cluster
@@ -91,19 +93,21 @@
             .into_iter()
             .find(|node| *node != leader)
             .expect("one");
-        cluster.cut(follower, cut);
-        let begun = cluster.now;
+        cluster.partition(follower, partition);
+        let begin = cluster.now;
         let (mut at_follower, mut at_leader) = (Vec::new(), Vec::new());
-        while cluster.now < begun + CUT {
+        while cluster.now < begin + PARTITION_MS {
             at_follower.extend([cluster.read(follower), cluster.propose(follower)]);
             at_leader.extend([cluster.read(leader), cluster.propose(leader)]);
             cluster.run(50);
         }
         cluster.heal();
-        cluster.agree();
-        cluster.none_done(&at_follower, what);
+        cluster.assert_converges();
+        cluster.assert_none_completed(&at_follower, what);
         assert!(
-            at_leader.iter().all(|token| cluster.done.contains(token)),
+            at_leader
+                .iter()
+                .all(|token| cluster.completed.contains(token)),
             "{what}"
         );
         let now = (cluster.leader(), cluster.node(follower).term());
@@ -115,7 +119,7 @@
 /// neither unseats the leader nor raises the term, with its log as long as theirs.
 #[test]
 fn a_follower_that_misses_the_leader_alone_disturbs_nobody() {
-    each(|mut cluster, cut, what| {
+    for_each_partition(|mut cluster, partition, what| {
         let leader = cluster.leader();
         let term = cluster.node(leader).term();
         let follower = cluster
@@ -123,15 +127,15 @@
             .into_iter()
             .find(|node| *node != leader)
             .expect("one");
-        if cut.outward {
-            cluster.cuts.insert((follower, leader));
+        if partition.outbound {
+            cluster.cut_links.insert((follower, leader));
         }
-        if cut.inward {
-            cluster.cuts.insert((leader, follower));
+        if partition.inbound {
+            cluster.cut_links.insert((leader, follower));
         }
-        cluster.run(CUT);
+        cluster.run(PARTITION_MS);
         cluster.heal();
-        cluster.agree();
+        cluster.assert_converges();
         let now = (cluster.leader(), cluster.node(follower).term());
         assert_eq!(now, (leader, term), "{what}: leader and term stay");
     });
@@ -141,29 +145,29 @@
 /// that went on without it, change nothing of this.
 #[test]
 fn restarts_within_a_cut_bring_nothing_old_back() {
-    each(|mut cluster, cut, what| {
+    for_each_partition(|mut cluster, partition, what| {
         let old = cluster.leader();
-        cluster.cut(old, cut);
+        cluster.partition(old, partition);
         // Entries that only the cut-off leader has, on its disk.
         let mut at_old: Vec<Token> = (0..5).map(|_| cluster.propose(old)).collect();
-        cluster.run(ELECTED);
+        cluster.run(ELECTION_MS);
         for _ in 0..3 {
             cluster.restart(old);
             at_old.extend([cluster.read(old), cluster.propose(old)]);
             cluster.run(500);
             let leader = cluster
-                .leader_but(Some(old))
+                .leader_outside(Some(old))
                 .expect("the others have a leader");
             let token = cluster.propose(leader);
             cluster.run(500);
-            assert!(cluster.done.contains(&token), "{what}");
+            assert!(cluster.completed.contains(&token), "{what}");
             at_old.extend([cluster.read(old), cluster.propose(old)]);
             cluster.restart(leader);
-            cluster.run(ELECTED);
+            cluster.run(ELECTION_MS);
         }
         cluster.heal();
-        cluster.agree();
-        cluster.none_done(&at_old, what);
+        cluster.assert_converges();
+        cluster.assert_none_completed(&at_old, what);
     });
 }
 
@@ -178,21 +182,21 @@
             let old = cluster.leader();
             // A proposal's round is under way, so that answers to it will be queued.
             cluster.propose(old);
-            cluster.run(TICK);
-            cluster.machines.get_mut(&old).expect("known").is_frozen = true;
+            cluster.run(TICK_MS);
+            cluster.machines.get_mut(&old).expect("known").is_paused = true;
             cluster.run(9_000);
             let leader = cluster
-                .leader_but(Some(old))
+                .leader_outside(Some(old))
                 .expect("the others have a leader");
             let token = cluster.propose(leader);
             cluster.run(1_000);
             assert!(
-                cluster.done.contains(&token),
+                cluster.completed.contains(&token),
                 "seed {seed}: the others go on"
             );
 
             let machine = cluster.machines.get_mut(&old).expect("known");
-            machine.is_frozen = false;
+            machine.is_paused = false;
             let inbox = std::mem::take(&mut machine.inbox);
             assert!(
                 !inbox.is_empty(),
@@ -203,9 +207,9 @@
                 cluster.step(old, Input::Received(message));
                 at_old.extend([cluster.read(old), cluster.propose(old)]);
             }
-            cluster.none_done(&at_old, "at once");
-            cluster.agree();
-            cluster.none_done(&at_old, "in the end");
+            cluster.assert_none_completed(&at_old, "at once");
+            cluster.assert_converges();
+            cluster.assert_none_completed(&at_old, "in the end");
         }
     }
 }
@@ -221,21 +225,21 @@
             for _ in 0..5 {
                 let old = cluster.leader();
                 let token = cluster.propose(old);
-                while !cluster.done.contains(&token) {
-                    cluster.run(TICK);
+                while !cluster.completed.contains(&token) {
+                    cluster.run(TICK_MS);
                 }
                 // Before a follower learns that the entry counts.
                 cluster.queue.clear();
-                cluster.cut(old, CUTS[0]);
-                let before = cluster.done.len();
-                while cluster.done.len() < before + 10 {
+                cluster.partition(old, PARTITIONS[0]);
+                let before = cluster.completed.len();
+                while cluster.completed.len() < before + 10 {
                     for identity in cluster.identities() {
                         cluster.read(identity);
                     }
-                    cluster.run(TICK);
+                    cluster.run(TICK_MS);
                 }
                 cluster.heal();
-                cluster.agree();
+                cluster.assert_converges();
             }
         }
     }
@@ -246,38 +250,38 @@
 #[test]
 fn answers_of_an_earlier_term_count_for_nothing() {
     for seed in 1..=5 {
-        let mut cluster = Cluster::new(3, seed, Loss::Late);
+        let mut cluster = Cluster::new(3, seed, Loss::Delayed);
         let old = cluster.leader();
         // Many rounds, so that the counter of a new life is far below.
-        cluster.run(CUT);
-        cluster.cut(
+        cluster.run(PARTITION_MS);
+        cluster.partition(
             old,
-            Cut {
-                outward: false,
-                inward: true,
+            Partition {
+                outbound: false,
+                inbound: true,
             },
         );
         cluster.propose(old);
         cluster.run(2_000);
-        let late: Vec<Message> = std::mem::take(&mut cluster.held);
+        let late: Vec<Message> = std::mem::take(&mut cluster.delayed);
         assert!(!late.is_empty(), "seed {seed}: answers are on their way");
-        cluster.cuts.clear();
+        cluster.cut_links.clear();
         cluster.restart(old);
-        cluster.agree();
+        cluster.assert_converges();
         for _ in 0..20 {
             let leader = cluster.leader();
             if leader == old {
                 break;
             }
-            cluster.cut(leader, CUTS[0]);
+            cluster.partition(leader, PARTITIONS[0]);
             cluster.run(2_000);
-            cluster.cuts.clear();
-            cluster.agree();
+            cluster.cut_links.clear();
+            cluster.assert_converges();
         }
         assert_eq!(cluster.leader(), old, "seed {seed}: it leads again");
-        cluster.cut(old, CUTS[0]);
+        cluster.partition(old, PARTITIONS[0]);
         let mut at_old = vec![cluster.read(old), cluster.propose(old)];
-        cluster.run(2 * TICK);
+        cluster.run(2 * TICK_MS);
         assert_eq!(
             cluster.node(old).role(),
             Role::Leader,
@@ -287,7 +291,7 @@
             cluster.step(old, Input::Received(message));
             at_old.push(cluster.read(old));
         }
-        cluster.run(CUT);
-        cluster.none_done(&at_old, &format!("seed {seed}"));
+        cluster.run(PARTITION_MS);
+        cluster.assert_none_completed(&at_old, &format!("seed {seed}"));
     }
 }
--- a/consensus/tests/repair.rs
+++ b/consensus/tests/repair.rs
@@ -1,7 +1,10 @@
 //! Which change of membership comes next: a table.
 
+mod support;
+
 use consensus::repair::{next_change, MemberHealth, NoChange, RepairPolicy};
 use consensus::{Member, MembershipChange};
+use support::members::member;
 
 const POLICY: RepairPolicy = RepairPolicy {
     voters: 5,
@@ -9,7 +12,7 @@
     remove_learner_after_ms: 60_000,
 };
 
-/// A member and how it stands, in short: its identity, its place, and a state.
+/// A member and how it stands, in short: its identity, its zone, and its state.
 #[derive(Clone, Copy)]
 enum Stands {
     Well,
@@ -18,14 +21,11 @@
     Behind,
 }
 
-fn member(identity: u64, place: &str) -> Member {
+fn member_in(zone: &str, identity: u64) -> Member {
     Member {
-        identity,
-        name: format!("node-{identity}"),
-        region: place[..1].into(),
-        zone: place.into(),
-        address: String::new(),
-        operator_address: String::new(),
+        region: zone[..1].into(),
+        zone: zone.into(),
+        ..member(identity)
     }
 }
 
@@ -48,7 +48,7 @@
 fn change(voters: Listed, learners: Listed) -> Result<MembershipChange, NoChange> {
     let of = |list: Listed| -> Vec<(Member, Stands)> {
         list.iter()
-            .map(|(identity, place, stands)| (member(*identity, place), *stands))
+            .map(|(identity, zone, stands)| (member_in(zone, *identity), *stands))
             .collect()
     };
     let (voters, learners) = (of(voters), of(learners));
@@ -64,8 +64,8 @@
 ];
 
 fn five_with(identity: u64, stands: Stands) -> Vec<(u64, &'static str, Stands)> {
-    let with = |(known, place, was): (u64, &'static str, Stands)| {
-        (known, place, if known == identity { stands } else { was })
+    let with = |(known, zone, was): (u64, &'static str, Stands)| {
+        (known, zone, if known == identity { stands } else { was })
     };
     FIVE.into_iter().map(with).collect()
 }
@@ -211,7 +211,7 @@
     };
     let listed: Vec<(Member, Stands)> = voters
         .iter()
-        .map(|(id, place, stands)| (member(*id, place), *stands))
+        .map(|(id, zone, stands)| (member_in(zone, *id), *stands))
         .collect();
     assert_eq!(
         next_change(&health(&listed), &[], 1, &policy),
--- a/consensus/tests/snapshots.rs
+++ b/consensus/tests/snapshots.rs
@@ -7,11 +7,12 @@
 use consensus::node::{Effect, Input, Node, PersistedState, SnapshotPolicy, Timing, Write};
 use consensus::wal::WriteAheadLog;
 use consensus::{
-    Entry, EntryPayload, HardState, LogIndex, Member, Membership, Message, MessageBody, Snapshot,
-    Term,
+    Entry, EntryPayload, HardState, LogIndex, Membership, Message, MessageBody, Snapshot, Term,
 };
 use support::cluster::{Cluster, Conditions};
 use support::disk::MemoryDisk;
+use support::members::{member, membership};
+use support::random::Random;
 
 const CLUSTER: u64 = 7;
 const LEADER: u64 = 2;
@@ -74,7 +75,7 @@
         bytes: 100,
     };
     let mut follower = Follower::new();
-    follower.hear(append(
+    follower.receive(append(
         1,
         1,
         1,
@@ -84,7 +85,7 @@
         !follower.node.is_snapshot_due(policy),
         "nothing of it is committed"
     );
-    follower.hear(append(9, 1, 4, Vec::new()));
+    follower.receive(append(9, 1, 4, Vec::new()));
     assert!(follower.node.is_snapshot_due(policy));
     follower.step(Input::SnapshotTaken(2, vec![1]));
     assert!(
@@ -96,31 +97,17 @@
         !follower.node.is_snapshot_due(policy),
         "what is committed is in it"
     );
-    follower.hear(append(9, 1, 9, Vec::new()));
+    follower.receive(append(9, 1, 9, Vec::new()));
     assert!(follower.node.is_snapshot_due(policy));
-    follower.hear(install(50, 1));
+    follower.receive(install(50, 1));
     assert!(
         !follower.node.is_snapshot_due(policy),
         "the leader's one holds it all"
     );
 }
 
-fn member(identity: u64) -> Member {
-    Member {
-        identity,
-        name: format!("node-{identity}"),
-        region: "north".into(),
-        zone: "north-a".into(),
-        address: String::new(),
-        operator_address: String::new(),
-    }
-}
-
 fn members() -> Membership {
-    Membership {
-        voters: (1..=3).map(member).collect(),
-        ..Membership::default()
-    }
+    membership((1..=3).map(member))
 }
 
 fn command(index: LogIndex, term: Term) -> Entry {
@@ -169,8 +156,8 @@
     log: WriteAheadLog<MemoryDisk>,
     disk: MemoryDisk,
     unwritten: Vec<(u64, Vec<Write>)>,
-    /// The most that it ever claimed to have on its disk.
-    claimed: LogIndex,
+    /// The most that it ever reported to have on its disk.
+    reported: LogIndex,
     applied: LogIndex,
 }
 
@@ -192,13 +179,13 @@
             }),
         ])
         .expect("there is room");
-        let (log, kept) = WriteAheadLog::open(disk.clone()).expect("it is read back");
+        let (log, persisted) = WriteAheadLog::open(disk.clone()).expect("it is read back");
         Follower {
-            node: Node::new(1, Timing::default(), 5, 1_000, kept),
+            node: Node::new(1, Timing::default(), 5, 1_000, persisted),
             log,
             disk,
             unwritten: Vec::new(),
-            claimed: 0,
+            reported: 0,
             applied: 0,
         }
     }
@@ -216,7 +203,7 @@
                         },
                     ..
                 }) => {
-                    self.claimed = self.claimed.max(match_index);
+                    self.reported = self.reported.max(match_index);
                 }
                 Effect::Apply(entry, _) => {
                     assert_eq!(entry.index, self.applied + 1, "in order");
@@ -231,7 +218,7 @@
         }
     }
 
-    fn hear(&mut self, body: MessageBody) {
+    fn receive(&mut self, body: MessageBody) {
         let term = self.node.term();
         self.step(Input::Received(Message {
             from: LEADER,
@@ -266,12 +253,12 @@
     }
 }
 
-/// Guards: what is claimed to be synced is on the disk. A snapshot that the node
+/// Guards: what is reported to be synced is on the disk. A snapshot that the node
 /// took of committed entries before its own disk had them is not on it, either.
 #[test]
 fn a_snapshot_that_is_not_written_yet_is_not_claimed() {
     let mut follower = Follower::new();
-    follower.hear(append(
+    follower.receive(append(
         1,
         1,
         9,
@@ -279,14 +266,14 @@
     ));
     assert_eq!(follower.applied, 9, "a majority of others has them");
     follower.step(Input::SnapshotTaken(9, vec![1]));
-    assert_eq!(follower.claimed, 1);
-    follower.hear(install(50, 1));
-    assert_eq!(follower.claimed, 1, "the disk holds no more");
+    assert_eq!(follower.reported, 1);
+    follower.receive(install(50, 1));
+    assert_eq!(follower.reported, 1, "the disk holds no more");
     while !follower.unwritten.is_empty() {
         follower.write_one();
-        assert!(follower.claimed <= follower.last_on_disk());
+        assert!(follower.reported <= follower.last_on_disk());
     }
-    assert_eq!(follower.claimed, 50);
+    assert_eq!(follower.reported, 50);
 }
 
 /// Guards: a heartbeat commits what it vouches for and no more: what follows in the
@@ -294,7 +281,7 @@
 #[test]
 fn a_heartbeat_commits_no_branch() {
     let mut follower = Follower::new();
-    follower.hear(append(
+    follower.receive(append(
         1,
         1,
         1,
@@ -326,44 +313,37 @@
 #[test]
 fn nothing_is_written_after_a_failed_write() {
     let mut follower = Follower::new();
-    follower.hear(append(1, 1, 1, vec![command(2, 1)]));
+    follower.receive(append(1, 1, 1, vec![command(2, 1)]));
     follower.write_one();
-    assert_eq!(follower.claimed, 2);
-    follower.hear(append(2, 1, 2, vec![command(3, 1)]));
+    assert_eq!(follower.reported, 2);
+    follower.receive(append(2, 1, 2, vec![command(3, 1)]));
     follower.unwritten.clear();
     follower.step(Input::DiskFailed);
-    follower.hear(append(3, 1, 3, vec![command(4, 1)]));
-    follower.hear(install(50, 1));
+    follower.receive(append(3, 1, 3, vec![command(4, 1)]));
+    follower.receive(install(50, 1));
     assert!(follower.unwritten.is_empty(), "there would be a gap");
-    assert_eq!((follower.claimed, follower.last_on_disk()), (2, 2));
-}
-
-fn draw(seed: &mut u64, below: u64) -> u64 {
-    *seed ^= *seed << 13;
-    *seed ^= *seed >> 7;
-    *seed ^= *seed << 17;
-    (*seed >> 11) % below
+    assert_eq!((follower.reported, follower.last_on_disk()), (2, 2));
 }
 
 /// Guards: duplicated, reordered and late snapshots and entries of one leader undo
-/// nothing: what was claimed stays on the disk, the commit never falls, and a state
+/// nothing: what was reported stays on the disk, the commit never falls, and a state
 /// is never replaced by an older one.
 #[test]
 fn reordered_snapshots_and_entries_undo_nothing() {
     const LAST: LogIndex = 60;
     for number in 1..=300u64 {
-        let mut seed = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
+        let mut random = Random::new(number);
         let mut follower = Follower::new();
         let mut commit = 0;
         // The leader's log grows; what it sends comes from any moment of that.
         for turn in 0..80 {
             let grown = 2 + turn * LAST / 80;
-            let index = 1 + draw(&mut seed, grown);
-            let far = index + draw(&mut seed, grown + 1 - index + 1).min(12);
-            let committed = draw(&mut seed, far.min(grown) + 1);
-            match draw(&mut seed, 10) {
-                0 | 1 => follower.hear(install(index, 1)),
-                2 => follower.hear(append(grown, 1, 0, Vec::new())),
+            let index = 1 + random.below(grown);
+            let far = index + random.below(grown + 1 - index + 1).min(12);
+            let committed = random.below(far.min(grown) + 1);
+            match random.below(10) {
+                0 | 1 => follower.receive(install(index, 1)),
+                2 => follower.receive(append(grown, 1, 0, Vec::new())),
                 3 | 4 => follower.write_one(),
                 5 => {
                     let applied = follower.applied;
@@ -371,7 +351,7 @@
                 }
                 _ => {
                     let entries = (index + 1..=far).map(|index| command(index, 1)).collect();
-                    follower.hear(append(index, 1, committed, entries));
+                    follower.receive(append(index, 1, committed, entries));
                 }
             }
             assert!(
@@ -380,15 +360,15 @@
             );
             commit = follower.node.commit_index();
             assert!(
-                follower.claimed <= follower.last_on_disk(),
+                follower.reported <= follower.last_on_disk(),
                 "seed {number}, turn {turn}"
             );
         }
-        // Power goes: all that was claimed is there.
-        let claimed = follower.claimed;
+        // Power goes: all that was reported is there.
+        let reported = follower.reported;
         follower
             .disk
-            .lose_power(draw(&mut seed, u64::MAX), draw(&mut seed, 1_001) as usize);
-        assert!(follower.last_on_disk() >= claimed, "seed {number}");
+            .lose_power(random.below(u64::MAX), random.below(1_001) as usize);
+        assert!(follower.last_on_disk() >= reported, "seed {number}");
     }
 }
--- a/consensus/tests/support/cluster.rs
+++ b/consensus/tests/support/cluster.rs
@@ -6,6 +6,8 @@
 //! leader a term.
 
 use super::disk::MemoryDisk;
+use super::members::{member_on_machine, membership};
+use super::random::Random;
 use super::state::Applied;
 use super::traffic::Traffic;
 use consensus::node::{
@@ -13,8 +15,7 @@
 };
 use consensus::wal::WriteAheadLog;
 use consensus::{
-    Entry, EntryPayload, HardState, LogIndex, Member, Membership, Message, MessageBody, NodeId,
-    Term,
+    Entry, EntryPayload, HardState, LogIndex, Member, Message, MessageBody, NodeId, Term,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -107,24 +108,13 @@
     queue: BTreeMap<(u64, u64), Event>,
     sums: BTreeMap<LogIndex, u64>,
     leaders: BTreeMap<Term, NodeId>,
-    draws: u64,
+    random: Random,
 }
 
 const CLUSTER: u64 = 7;
 const ADMISSION: Token = u64::MAX;
 const DISK_RETRY_MS: u64 = 1_000;
 
-fn member(at: usize) -> Member {
-    Member {
-        identity: at as u64 + 1,
-        name: format!("node-{at}"),
-        region: format!("region-{}", at % 3),
-        zone: format!("zone-{}", at % 3),
-        address: format!("10.0.0.{at}:1"),
-        operator_address: String::new(),
-    }
-}
-
 impl Cluster {
     /// Voters that begin with the same membership, and blank machines after them,
     /// all down.
@@ -132,11 +122,8 @@
         let nodes = voters + blank;
         let timing = platform_timing(nodes);
         let first_voters = voters;
-        let voters = (0..voters).map(member).collect();
-        let members = Membership {
-            voters,
-            ..Membership::default()
-        };
+        let member = |at: usize| member_on_machine(at, at as u64 + 1);
+        let members = membership((0..voters).map(member));
         let first = Entry {
             index: 1,
             term: 1,
@@ -179,7 +166,7 @@
             queue: BTreeMap::new(),
             sums: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            draws: conditions.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
+            random: Random::new(conditions.seed),
             conditions,
         }
     }
@@ -201,10 +188,7 @@
     }
 
     pub fn draw(&mut self, below: u64) -> u64 {
-        self.draws ^= self.draws << 13;
-        self.draws ^= self.draws >> 7;
-        self.draws ^= self.draws << 17;
-        (self.draws >> 11) % below.max(1)
+        self.random.below(below)
     }
 
     fn at(&mut self, after: u64, event: Event) {
--- a/consensus/tests/common/mod.rs
+++ b/consensus/tests/support/deployment.rs
@@ -1,114 +1,102 @@
-//! Consensus nodes in virtual time, over links with a delay: machines start, end,
-//! lose their disks and are replaced; blank ones ask to be let in.
-#![allow(dead_code)]
+//! A deployment in virtual time, over links with a delay: machines start, stop, lose
+//! their disks and are replaced; blank ones ask to join.
 
+use super::members::member_on_machine;
+use super::persisted::apply_write;
+use super::random::Random;
 use consensus::node::{Effect, Input, Node, PersistedState, Role, Timing, Write};
 use consensus::{LogIndex, Member, Message, NodeId};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-pub const DELAY: u64 = 55;
-const SYNC: u64 = 2;
-const RETRY: u64 = 110;
-pub const START: u64 = 1_000;
+pub const LINK_DELAY_MS: u64 = 55;
+const SYNC_MS: u64 = 2;
+const JOIN_RETRY_MS: u64 = 110;
+pub const START_MS: u64 = 1_000;
 
-pub enum Due {
-    Heard(Message),
-    Synced(usize, u64, u64, Vec<Write>),
-    Admit(usize, Member),
-    Ask(usize),
-    Up(usize),
-    Down(usize),
+pub enum Event {
+    Deliver(Message),
+    WriteSynced(usize, u64, u64, Vec<Write>),
+    AddLearner(usize, Member),
+    RequestToJoin(usize),
+    Start(usize),
+    Stop(usize),
 }
 
 pub struct Machine {
     pub member: Member,
     pub node: Option<Node>,
     /// What is on its disk.
-    pub kept: PersistedState,
-    pub life: u64,
-    /// No input came since its last beat.
-    is_calm: bool,
+    pub persisted: PersistedState,
+    pub incarnation: u64,
+    /// No input came since its last tick.
+    is_idle: bool,
 }
 
-pub struct World {
+pub struct Deployment {
     pub now: u64,
     order: u64,
-    queue: BTreeMap<(u64, u64), Due>,
+    queue: BTreeMap<(u64, u64), Event>,
     pub machines: Vec<Machine>,
-    founded: usize,
+    bootstraps: usize,
     pub timing: Timing,
-    /// Tokens of questions that were answered.
-    pub answered: Vec<u64>,
+    /// Tokens of requests that were confirmed.
+    pub confirmed: Vec<u64>,
     /// Links that carry nothing, by sender and receiver.
-    pub cuts: std::collections::BTreeSet<(NodeId, NodeId)>,
+    pub cut_links: BTreeSet<(NodeId, NodeId)>,
     /// The highest index that was applied anywhere.
     pub applied: LogIndex,
-    /// Messages lost, of a hundred, and what draws them.
-    pub loss: u64,
-    pub draws: u64,
+    /// Messages lost, of a hundred.
+    pub loss_percent: u64,
+    pub random: Random,
 }
 
-pub fn member(at: usize, identity: u64) -> Member {
-    Member {
-        identity,
-        name: format!("node-{at}"),
-        region: format!("region-{}", at % 3),
-        zone: format!("zone-{}", at % 3),
-        address: format!("10.0.0.{at}:1"),
-        operator_address: String::new(),
-    }
-}
-
-impl World {
-    pub fn new(nodes: usize) -> World {
+impl Deployment {
+    pub fn new(nodes: usize) -> Deployment {
         let machine = |at: usize| Machine {
-            member: member(at, 1 + at as u64),
+            member: member_on_machine(at, 1 + at as u64),
             node: None,
-            kept: PersistedState::default(),
-            life: 0,
-            is_calm: false,
+            persisted: PersistedState::default(),
+            incarnation: 0,
+            is_idle: false,
         };
-        World {
-            now: START,
+        Deployment {
+            now: START_MS,
             order: 0,
             queue: BTreeMap::new(),
             machines: (0..nodes).map(machine).collect(),
-            founded: 0,
+            bootstraps: 0,
             timing: Timing::default(),
-            answered: Vec::new(),
-            cuts: Default::default(),
+            confirmed: Vec::new(),
+            cut_links: Default::default(),
             applied: 0,
-            loss: 0,
-            draws: 1,
+            loss_percent: 0,
+            random: Random::in_state(1),
         }
     }
 
     pub fn draw(&mut self, below: u64) -> u64 {
-        self.draws ^= self.draws << 13;
-        self.draws ^= self.draws >> 7;
-        self.draws ^= self.draws << 17;
-        (self.draws >> 11) % below.max(1)
+        self.random.below(below)
     }
 
-    pub fn due(&mut self, after: u64, due: Due) {
+    pub fn schedule(&mut self, after_ms: u64, event: Event) {
         self.order += 1;
-        self.queue.insert((self.now + after, self.order), due);
+        self.queue.insert((self.now + after_ms, self.order), event);
     }
 
-    pub fn up(&mut self, at: usize, seed: u64) {
+    pub fn start(&mut self, at: usize, seed: u64) {
         let machine = &mut self.machines[at];
-        machine.life += 1;
-        machine.is_calm = false;
-        let (identity, kept) = (machine.member.identity, machine.kept.clone());
-        let is_blank = kept.hard_state.cluster == 0;
-        machine.node = Some(Node::new(identity, self.timing, seed, self.now, kept));
+        machine.incarnation += 1;
+        machine.is_idle = false;
+        let (identity, persisted) = (machine.member.identity, machine.persisted.clone());
+        let is_blank = persisted.hard_state.cluster == 0;
+        machine.node = Some(Node::new(identity, self.timing, seed, self.now, persisted));
         if at == 0 && is_blank {
-            self.founded += 1;
-            let (member, cluster) = (self.machines[0].member.clone(), 77 + self.founded as u64);
+            self.bootstraps += 1;
+            let (member, cluster) = (self.machines[0].member.clone(), 77 + self.bootstraps as u64);
             self.step(0, Input::Bootstrap(member, cluster));
         }
         // A connection is made first.
-        self.due(2 * DELAY, Due::Ask(at));
+        self.schedule(2 * LINK_DELAY_MS, Event::RequestToJoin(at));
     }
 
     pub fn step(&mut self, at: usize, input: Input) {
@@ -117,40 +105,40 @@
         let Some(node) = machine.node.as_mut() else {
             return;
         };
-        machine.is_calm = matches!(input, Input::Tick);
-        let life = machine.life;
+        machine.is_idle = matches!(input, Input::Tick);
+        let incarnation = machine.incarnation;
         for effect in node.step(now, input) {
             match effect {
                 Effect::Write(ticket, writes) => {
-                    self.due(SYNC, Due::Synced(at, life, ticket, writes))
+                    self.schedule(SYNC_MS, Event::WriteSynced(at, incarnation, ticket, writes))
                 }
-                Effect::Send(message) => self.due(DELAY, Due::Heard(message)),
+                Effect::Send(message) => self.schedule(LINK_DELAY_MS, Event::Deliver(message)),
                 Effect::Apply(entry, _) => self.applied = self.applied.max(entry.index),
-                Effect::ReadReady(token, _) => self.answered.push(token),
+                Effect::ReadReady(token, _) => self.confirmed.push(token),
                 _ => {}
             }
         }
     }
 
     /// Every millisecond up to `end`, or until the condition holds.
-    pub fn run(&mut self, end: u64, is_done: impl Fn(&World) -> bool) -> Option<u64> {
-        while self.now < START + end {
+    pub fn run(&mut self, end: u64, is_done: impl Fn(&Deployment) -> bool) -> Option<u64> {
+        while self.now < START_MS + end {
             if is_done(self) {
-                return Some(self.now - START);
+                return Some(self.now - START_MS);
             }
             self.now += 1;
             while let Some(entry) = self.queue.first_entry() {
                 if entry.key().0 > self.now {
                     break;
                 }
-                let due = entry.remove();
-                self.carry(due);
+                let event = entry.remove();
+                self.handle(event);
             }
             for at in 0..self.machines.len() {
                 let machine = &self.machines[at];
                 let Some(node) = &machine.node else { continue };
-                // What `due` promises: before it, a beat finds nothing to do.
-                let is_early = machine.is_calm && node.next_deadline() > self.now;
+                // What `due` promises: before it, a tick finds nothing to do.
+                let is_early = machine.is_idle && node.next_deadline() > self.now;
                 let before = self.order;
                 self.step(at, Input::Tick);
                 assert!(
@@ -162,11 +150,11 @@
         None
     }
 
-    fn carry(&mut self, due: Due) {
-        match due {
-            Due::Heard(_) if self.draw(100) < self.loss => {}
-            Due::Heard(message) if self.cuts.contains(&(message.from, message.to)) => {}
-            Due::Heard(message) => {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Deliver(_) if self.draw(100) < self.loss_percent => {}
+            Event::Deliver(message) if self.cut_links.contains(&(message.from, message.to)) => {}
+            Event::Deliver(message) => {
                 let to = self
                     .machines
                     .iter()
@@ -175,41 +163,31 @@
                     self.step(to, Input::Received(message));
                 }
             }
-            Due::Synced(at, life, ticket, writes) if self.machines[at].life == life => {
-                let kept = &mut self.machines[at].kept;
+            Event::WriteSynced(at, incarnation, ticket, writes)
+                if self.machines[at].incarnation == incarnation =>
+            {
+                let persisted = &mut self.machines[at].persisted;
                 for write in writes {
-                    match write {
-                        Write::HardState(hard_state) => kept.hard_state = hard_state,
-                        Write::Entry(entry) => kept.entries.push(entry),
-                        Write::Truncate(from) => kept.entries.retain(|entry| entry.index < from),
-                        Write::InstallSnapshot(snapshot) => {
-                            kept.entries.clear();
-                            kept.snapshot = Some(snapshot);
-                        }
-                        Write::Snapshot(snapshot) => {
-                            kept.entries.retain(|entry| entry.index > snapshot.index);
-                            kept.snapshot = Some(snapshot);
-                        }
-                    }
+                    apply_write(persisted, &write);
                 }
                 self.step(at, Input::Synced(ticket));
             }
-            Due::Synced(..) => {}
-            Due::Ask(at) => {
+            Event::WriteSynced(..) => {}
+            Event::RequestToJoin(at) => {
                 let Some(node) = &self.machines[at].node else {
                     return;
                 };
                 let member = self.machines[at].member.clone();
-                // As the daemon does: a blank node asks, and one that nobody leads.
+                // As the daemon does: a blank node asks, and one without a leader.
                 if node.cluster() == 0 || node.leader().is_none() {
                     for seed in (0..self.machines.len()).filter(|seed| *seed != at) {
-                        self.due(DELAY, Due::Admit(seed, member.clone()));
+                        self.schedule(LINK_DELAY_MS, Event::AddLearner(seed, member.clone()));
                     }
                 }
-                self.due(RETRY, Due::Ask(at));
+                self.schedule(JOIN_RETRY_MS, Event::RequestToJoin(at));
             }
-            Due::Admit(seed, member) => {
-                // A seed that does not lead passes the question on to who does.
+            Event::AddLearner(seed, member) => {
+                // A seed that does not lead forwards the request to the leader.
                 let leads = |m: &Machine| m.node.as_ref().is_some_and(|n| n.role() == Role::Leader);
                 let knows = self.machines[seed]
                     .node
@@ -221,15 +199,15 @@
                     self.step(leader, Input::AddLearner(9, member));
                 }
             }
-            Due::Up(at) => self.up(at, 5 + self.now),
-            Due::Down(at) => {
+            Event::Start(at) => self.start(at, 5 + self.now),
+            Event::Stop(at) => {
                 self.machines[at].node = None;
-                self.machines[at].life += 1;
+                self.machines[at].incarnation += 1;
             }
         }
     }
 
-    pub fn voters(&self) -> usize {
+    pub fn fewest_voters(&self) -> usize {
         let nodes = self
             .machines
             .iter()
@@ -240,7 +218,7 @@
             .unwrap_or(0)
     }
 
-    pub fn clusters(&self) -> Vec<u64> {
+    pub fn cluster_ids(&self) -> Vec<u64> {
         let nodes = self
             .machines
             .iter()
@@ -252,17 +230,17 @@
     }
 
     /// A machine that is new: a blank disk, a name and an address of its own.
-    pub fn add(&mut self, place: usize) -> usize {
+    pub fn add_machine(&mut self, place: usize) -> usize {
         let at = self.machines.len();
-        let mut member = member(at, 1 + at as u64);
+        let mut member = member_on_machine(at, 1 + at as u64);
         member.region = format!("region-{}", place % 3);
         member.zone = format!("zone-{}", place % 3);
         self.machines.push(Machine {
             member,
             node: None,
-            kept: PersistedState::default(),
-            life: 0,
-            is_calm: false,
+            persisted: PersistedState::default(),
+            incarnation: 0,
+            is_idle: false,
         });
         at
     }
@@ -278,7 +256,7 @@
     }
 
     /// Whether the leader counts just `voters` voters, all of them up.
-    pub fn is_whole(&self, voters: usize) -> bool {
+    pub fn has_full_membership(&self, voters: usize) -> bool {
         let Some(leader) = self.leader() else {
             return false;
         };
--- /dev/null
+++ b/consensus/tests/support/single_node.rs
@@ -0,0 +1,68 @@
+//! One node whose writes are on disk at once; the test plays all other nodes.
+
+use consensus::node::{Effect, Input, Node, PersistedState, Role, Timing};
+use consensus::{Entry, HardState, LogIndex, Message, MessageBody, NodeId, Term};
+
+const CLUSTER: u64 = 7;
+const IDENTITY: NodeId = 1;
+const TICK_MS: u64 = 50;
+
+/// Node 1 and what it has applied, in order.
+pub struct SingleNode {
+    pub node: Node,
+    pub applied: Vec<LogIndex>,
+    now: u64,
+}
+
+impl SingleNode {
+    /// Starts it in this term with these entries on its disk.
+    pub fn start(term: Term, entries: Vec<Entry>) -> SingleNode {
+        let now = 1_000;
+        let persisted = PersistedState {
+            hard_state: HardState {
+                term,
+                vote: 0,
+                cluster: CLUSTER,
+            },
+            snapshot: None,
+            entries,
+        };
+        SingleNode {
+            node: Node::new(IDENTITY, Timing::default(), 9, now, persisted),
+            applied: Vec::new(),
+            now,
+        }
+    }
+
+    fn step(&mut self, input: Input) {
+        let mut inputs = vec![input];
+        while let Some(input) = inputs.pop() {
+            for effect in self.node.step(self.now, input) {
+                match effect {
+                    Effect::Write(ticket, _) => inputs.push(Input::Synced(ticket)),
+                    Effect::Apply(entry, _) => self.applied.push(entry.index),
+                    _ => {}
+                }
+            }
+        }
+    }
+
+    /// Lets time pass until its election timer runs out.
+    pub fn run_until_pre_candidate(&mut self) {
+        while self.node.role() != Role::PreCandidate {
+            self.now += TICK_MS;
+            self.step(Input::Tick);
+        }
+    }
+
+    /// A message from another node arrives.
+    pub fn receive(&mut self, from: NodeId, term: Term, body: MessageBody) {
+        self.step(Input::Received(Message {
+            from,
+            to: IDENTITY,
+            cluster: CLUSTER,
+            term,
+            body,
+        }));
+    }
+}
--- a/consensus/tests/write_ahead_log.rs
+++ b/consensus/tests/write_ahead_log.rs
@@ -7,6 +7,7 @@
 use consensus::wal::{LogStorage, WriteAheadLog};
 use consensus::{Entry, EntryPayload, HardState, LogIndex, Membership, Snapshot, Term};
 use support::disk::MemoryDisk;
+use support::random::Random;
 
 /// What a folder holds, in short: the hard state's term, the snapshot's index and
 /// term, and the entries after it.
@@ -226,23 +227,15 @@
     check_every_loss(&steps);
 }
 
-/// A number below another, drawn from a seed that moves on.
-fn draw(seed: &mut u64, below: u64) -> u64 {
-    *seed ^= *seed << 13;
-    *seed ^= *seed >> 7;
-    *seed ^= *seed << 17;
-    (*seed >> 11) % below
-}
-
 /// Steps as a node may give them: nothing before the snapshot is cut, and what is
 /// installed is not in the log already.
-fn drawn_steps(seed: &mut u64) -> Vec<Step> {
+fn drawn_steps(random: &mut Random) -> Vec<Step> {
     let mut held = Holding::default();
     let mut term = 1;
     let mut steps = Vec::new();
     for _ in 0..24 {
         let (floor, last) = (held.snapshot.0, held.last());
-        let write = match draw(seed, 12) {
+        let write = match random.below(12) {
             0..=4 => entry(last + 1, term),
             5 | 6 => {
                 steps.push(Step::Restart);
@@ -250,7 +243,7 @@
             }
             7 if last > floor => {
                 term += 1;
-                Write::Truncate(floor + 1 + draw(seed, last - floor))
+                Write::Truncate(floor + 1 + random.below(last - floor))
             }
             8 => {
                 term += 1;
@@ -261,12 +254,12 @@
                 })
             }
             9 | 10 if last > floor => {
-                let index = floor + 1 + draw(seed, last - floor);
+                let index = floor + 1 + random.below(last - floor);
                 Write::Snapshot(snapshot(index, held.term_at(index)))
             }
             11 => {
                 term += 1;
-                Write::InstallSnapshot(snapshot(floor + 1 + draw(seed, last - floor + 3), term))
+                Write::InstallSnapshot(snapshot(floor + 1 + random.below(last - floor + 3), term))
             }
             _ => entry(last + 1, term),
         };
@@ -281,8 +274,8 @@
 fn drawn_steps_survive_every_loss() {
     let mut cases = 0;
     for number in 1..=60u64 {
-        let mut seed = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-        let steps = drawn_steps(&mut seed);
+        let mut random = Random::new(number);
+        let steps = drawn_steps(&mut random);
         cases += check_every_loss(&steps);
     }
     assert!(cases > 8_000, "{cases} cases");
