--- a/directory/src/control_plane.rs
+++ b/directory/src/control_plane.rs
@@ -4,8 +4,8 @@
 //! when the node starts, seeds come from the settings, routers from their heartbeats.
 
 use crate::driver::ConsensusDriver;
-use crate::peers::PeerConnections;
-use crate::subscriptions::RouterRegistry;
+use crate::peer_connections::PeerConnections;
+use crate::router_registry::RouterRegistry;
 use consensus::Member;
 use dispatch::quota::QuotaLimiter;
 use dispatch::Dispatcher;
--- a/directory/src/driver/start.rs
+++ b/directory/src/driver/start.rs
@@ -6,7 +6,7 @@
 use super::pause_detector::PauseDetector;
 use super::status::ClusterStatus;
 use super::thread::{DriverThread, Published};
-use crate::peers::PeerConnections;
+use crate::peer_connections::PeerConnections;
 use consensus::node::{Node, PersistedState};
 use consensus::wal::{DiskStorage, WriteAheadLog};
 use parking_lot::RwLock;
--- a/directory/src/driver/thread/driver_thread.rs
+++ b/directory/src/driver/thread/driver_thread.rs
@@ -6,7 +6,7 @@
 use crate::driver::pause_detector::PauseDetector;
 use crate::driver::status::ClusterStatus;
 use crate::leader_clock::LeaderClock;
-use crate::peers::PeerConnections;
+use crate::peer_connections::PeerConnections;
 use consensus::node::Node;
 use parking_lot::RwLock;
 use protocol::Frame;
--- a/directory/src/forwarded_requests/body.rs
+++ b/directory/src/forwarded_requests/body.rs
@@ -1,6 +1,5 @@
 //! Streams the body of a forwarded request to its engine.
 
-use super::MAX_FRAME_BYTES;
 use anyhow::{anyhow, bail};
 use bytes::Bytes;
 use protocol::Frame;
@@ -8,6 +7,9 @@
 use tokio::sync::mpsc;
 use transport::link;
 
+/// The most that one frame of a forwarded request may hold, in bytes.
+pub(super) const MAX_FRAME_BYTES: usize = 1 << 20;
+
 /// Passes the rest of the body on, then watches for the router to leave; ends only when
 /// the router is gone. The bounded channel holds the router back where the engine is
 /// slow.
--- a/directory/src/forwarded_requests/key.rs
+++ b/directory/src/forwarded_requests/key.rs
@@ -1,6 +1,6 @@
 //! Reads as much of a forwarded request's body as its key needs, and resolves the key.
 
-use super::MAX_FRAME_BYTES;
+use super::body::MAX_FRAME_BYTES;
 use crate::control_plane::ControlPlane;
 use crate::driver::{no_lease_refusal, ResolveError};
 use anyhow::bail;
--- a/directory/src/forwarded_requests/mod.rs
+++ b/directory/src/forwarded_requests/mod.rs
@@ -10,6 +10,3 @@
 mod serve;
 
 pub(crate) use serve::serve;
-
-/// The most that one frame of a forwarded request may hold, in bytes.
-const MAX_FRAME_BYTES: usize = 1 << 20;
--- a/directory/src/forwarded_requests/serve.rs
+++ b/directory/src/forwarded_requests/serve.rs
@@ -1,8 +1,7 @@
 //! Takes one forwarded request to an engine and its response back to the router.
 
-use super::body::upload;
+use super::body::{upload, MAX_FRAME_BYTES};
 use super::key::{read_key, ResolvedRequest};
-use super::MAX_FRAME_BYTES;
 use crate::control_plane::ControlPlane;
 use anyhow::bail;
 use dispatch::{
--- a/directory/src/lib.rs
+++ b/directory/src/lib.rs
@@ -24,9 +24,11 @@
 mod node;
 mod operator_api;
 mod operator_commands;
+mod peer_connections;
 mod peers;
 pub mod pending_requests;
 mod router_count;
+mod router_registry;
 mod settings;
 mod subscriptions;
 
--- a/directory/src/operator_api/cluster.rs
+++ b/directory/src/operator_api/cluster.rs
@@ -1,7 +1,7 @@
 //! Founding the cluster, and removing a member from it.
 
 use super::error::ApiError;
-use super::hex;
+use super::identity::hex;
 use crate::command_result::membership_result;
 use crate::control_plane::ControlPlane;
 use protocol::PeerRequest;
--- a/directory/src/operator_api/commands.rs
+++ b/directory/src/operator_api/commands.rs
@@ -2,12 +2,13 @@
 
 use super::error::ApiError;
 use super::proposal::read_proposal;
-use super::BODY_LIMIT_BYTES;
 use crate::control_plane::ControlPlane;
 use simd_json::json;
 use std::time::Duration;
 use transport::http_server::{self, Request, Response};
 
+/// The most that a request's body may hold.
+pub(super) const BODY_LIMIT_BYTES: usize = 8 << 20;
 /// How long a proposal is submitted for, over changes of leader.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(3_500);
 
--- a/directory/src/operator_api/mod.rs
+++ b/directory/src/operator_api/mod.rs
@@ -7,6 +7,7 @@
 mod commands;
 mod error;
 mod explain;
+mod identity;
 mod proposal;
 mod status;
 
@@ -18,9 +19,6 @@
 
 type Server = dropshot::HttpServer<http_server::Handler>;
 
-/// The most that a request's body may hold.
-const BODY_LIMIT_BYTES: usize = 8 << 20;
-
 /// Serves the API until the server is closed. A request whose client leaves is dropped.
 ///
 /// # Errors
@@ -33,7 +31,7 @@
             result.unwrap_or_else(|error| error.response())
         })
     });
-    http_server::serve(address, BODY_LIMIT_BYTES, handler)
+    http_server::serve(address, commands::BODY_LIMIT_BYTES, handler)
 }
 
 async fn answer(control: &ControlPlane, request: Request) -> Result<Response, ApiError> {
@@ -51,8 +49,3 @@
         _ => Err(ApiError::NoSuchPage { path }),
     }
 }
-
-/// An identity as operators read and write it.
-fn hex(identity: u64) -> String {
-    format!("{identity:016x}")
-}
--- a/directory/src/operator_api/status.rs
+++ b/directory/src/operator_api/status.rs
@@ -1,7 +1,7 @@
 //! What operators read: the node's health, the cluster's status, the topology.
 
 use super::error::ApiError;
-use super::hex;
+use super::identity::hex;
 use crate::control_plane::ControlPlane;
 use crate::driver::{ClusterStatus, MembershipReport};
 use consensus::Member;
--- a/directory/src/peers/connections.rs
+++ b/directory/src/peer_connections.rs
@@ -56,7 +56,7 @@
     }
 
     /// Records where a peer that introduced itself is reached.
-    pub(super) fn learn_address(&self, member: Member) {
+    pub(crate) fn learn_address(&self, member: Member) {
         let mut addresses = self.addresses.lock();
         addresses.insert(member.identity, member.address);
     }
@@ -88,7 +88,7 @@
     /// Whether somebody waits for the answer of this request_id from `peer`. Not so for one
     /// that is late, comes a second time, or is meant for an earlier process at this
     /// address.
-    pub(super) fn accept_response(&self, request_id: u64, peer: &Member) -> bool {
+    pub(crate) fn accept_response(&self, request_id: u64, peer: &Member) -> bool {
         let mut pending = self.pending_requests.lock();
         pending.accept_response(now(), request_id, &peer.address)
     }
--- a/directory/src/subscriptions/registry.rs
+++ b/directory/src/router_registry.rs
@@ -14,10 +14,10 @@
 const MAX_ROUTER_AGE_MS: u64 = 3_000;
 
 /// A router's heartbeat that waits for the leader's confirmation.
-pub(super) struct WaitingHeartbeat {
-    pub(super) sender: mpsc::Sender<Frame>,
-    pub(super) received_at_ms: u64,
-    pub(super) demand: RouterDemand,
+pub(crate) struct WaitingHeartbeat {
+    pub(crate) sender: mpsc::Sender<Frame>,
+    pub(crate) received_at_ms: u64,
+    pub(crate) demand: RouterDemand,
 }
 
 struct KnownRouter {
@@ -42,7 +42,7 @@
     /// Rises whenever a router came, left, began to drain or got ready.
     list_version: watch::Sender<u64>,
     /// Notified when a heartbeat waits for the leader's confirmation.
-    pub(super) heartbeat_arrived: Notify,
+    pub(crate) heartbeat_arrived: Notify,
 }
 
 impl RouterRegistry {
@@ -58,7 +58,7 @@
 
     /// Takes in a heartbeat of a router whose session is here. Where its report may be
     /// old, that is left out.
-    pub(super) fn add_heartbeat(
+    pub(crate) fn add_heartbeat(
         &self,
         report: RouterStatus,
         heartbeat: WaitingHeartbeat,
@@ -89,7 +89,7 @@
     }
 
     /// Changes of the list of routers, as a version that rises.
-    pub(super) fn versions(&self) -> watch::Receiver<u64> {
+    pub(crate) fn versions(&self) -> watch::Receiver<u64> {
         self.list_version.subscribe()
     }
 
@@ -104,16 +104,16 @@
     }
 
     /// Those whose session is with this node.
-    pub(super) fn list_local(&self) -> Vec<RouterStatus> {
+    pub(crate) fn list_local(&self) -> Vec<RouterStatus> {
         self.routers.lock().list(|router| router.is_local)
     }
 
-    pub(super) fn take_heartbeats(&self) -> Vec<WaitingHeartbeat> {
+    pub(crate) fn take_heartbeats(&self) -> Vec<WaitingHeartbeat> {
         std::mem::take(&mut self.routers.lock().heartbeats)
     }
 
     /// Puts heartbeats back to wait for the next confirmation.
-    pub(super) fn requeue(&self, heartbeats: impl Iterator<Item = WaitingHeartbeat>) {
+    pub(crate) fn requeue(&self, heartbeats: impl Iterator<Item = WaitingHeartbeat>) {
         self.routers.lock().heartbeats.extend(heartbeats);
         self.heartbeat_arrived.notify_one();
     }
--- a/directory/src/subscriptions/leases.rs
+++ b/directory/src/subscriptions/leases.rs
@@ -4,8 +4,8 @@
 //! answers once a majority confirmed that it still leads (ReadIndex, section 6.4 of the
 //! Raft thesis).
 
-use super::registry::WaitingHeartbeat;
 use crate::control_plane::ControlPlane;
+use crate::router_registry::WaitingHeartbeat;
 use protocol::{
     Frame, PeerRequest, PeerResponse, QuotaGrant, RouterDemand, RouterGrants, LEASE_MS,
 };
--- a/directory/src/subscriptions/session.rs
+++ b/directory/src/subscriptions/session.rs
@@ -1,9 +1,9 @@
 //! One router's session.
 
-use super::registry::WaitingHeartbeat;
 use super::router_list;
 use crate::control_plane::ControlPlane;
 use crate::driver::{DriverCommand, ResolveError, MAX_SILENCE_MS};
+use crate::router_registry::WaitingHeartbeat;
 use protocol::{Frame, LookupResponse};
 use std::sync::Arc;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
