--- a/directory/src/operator_api/mod.rs
+++ b/directory/src/operator_api/mod.rs
@@ -38,7 +38,7 @@
     let path = request.uri().path().to_string();
     match (request.method().as_str(), path.as_str()) {
         ("GET", "/vitals") => Ok(status::health(control)),
-        ("GET", "/metrics") => Ok(http_server::json(200, &control.metrics.to_json())),
+        ("GET", "/counters") => Ok(http_server::json(200, &control.metrics.to_json())),
         ("GET", "/traffic") => Ok(http_server::json(200, &telemetry::traffic::to_json())),
         ("GET", "/status") => Ok(status::status(control).await),
         ("GET", "/book") => status::topology(control).await,
--- a/directory/src/operator_api/proposal.rs
+++ b/directory/src/operator_api/proposal.rs
@@ -89,7 +89,7 @@
     match value.get("whole").and_then(|v| v.as_bool()) {
         Some(true) => Ok(UpdateMode::Replace),
         Some(false) => Ok(UpdateMode::Patch),
-        None => Err("mode: residency::UpdateMode::Replace or false should stand here".into()),
+        None => Err("whole: true or false should stand here".into()),
     }
 }
 
