--- a/directory/src/driver/thread/quota_grants.rs
+++ b/directory/src/driver/thread/quota_grants.rs
@@ -2,7 +2,7 @@
 //! new leader starts without knowledge of what the one before it granted.
 
 use consensus::Term;
-use placement::{QuotaLeaseAllocator, QuotaTolerance, TokenAllocator};
+use placement::{QuotaLeaseAllocator, QuotaTolerance, RateLimit, TokenAllocator};
 use protocol::{RouterDemand, RouterGrants};
 use residency::View;
 use transport::now;
@@ -56,7 +56,10 @@
     ) -> Vec<RouterGrants> {
         let limits = |tenant: &str| {
             let limits = view.tenants.get(tenant);
-            limits.map(|limits| (limits.requests_per_s, limits.burst))
+            limits.map(|limits| RateLimit {
+                requests_per_s: limits.requests_per_s,
+                burst: limits.burst,
+            })
         };
         let routers = known_routers.max(view.router_count as usize);
         let answer = |demand| match &mut self.granter {
--- a/dispatch/src/quota.rs
+++ b/dispatch/src/quota.rs
@@ -2,7 +2,9 @@
 //! word around `placement`'s meters, or its taps, by which nobody waits.
 
 use parking_lot::Mutex;
-use placement::{AdmissionDecision, LeaseRateLimiter, QueueingRateLimiter, QuotaTolerance};
+use placement::{
+    AdmissionDecision, LeaseRateLimiter, QueueingRateLimiter, QuotaTolerance, RateLimit,
+};
 use protocol::{QuotaGrant, RouterDemand};
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -73,8 +75,8 @@
 
     pub fn apply_shares(&self, number: u64, until: u64, shares: &[QuotaGrant]) {
         match &self.means {
-            Means::Queueing(meters) => meters.lock().apply_shares(now(), number, until, shares),
-            Means::Leased(taps) => taps.lock().apply_shares(now(), number, until, shares),
+            Means::Queueing(meters) => meters.lock().apply_grants(now(), number, until, shares),
+            Means::Leased(taps) => taps.lock().apply_grants(now(), number, until, shares),
         }
         self.told.notify_waiters();
     }
@@ -103,10 +105,14 @@
             let text = format!("{tenant} is past its pace of {pace} jobs a second");
             Rejection::not_run(429, "quota", text)
         };
+        let limit = RateLimit {
+            requests_per_s: pace,
+            burst,
+        };
         let meters = match &self.means {
             Means::Queueing(meters) => meters,
             Means::Leased(taps) => {
-                return match taps.lock().admit(now(), tenant, pace, burst, routers) {
+                return match taps.lock().admit(now(), tenant, limit, routers) {
                     true => Ok(()),
                     false => Err(past()),
                 }
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -23,7 +23,7 @@
 pub use load::{EngineLoadEstimator, EngineLoadStatus, LoadUpdate, PrefillEstimate, ProbeTarget};
 pub use quota::{
     AdmissionDecision, LeaseRateLimiter, QueueingRateLimiter, QuotaLeaseAllocator, QuotaTolerance,
-    TokenAllocator, QUOTA_LEASE_MS, STARTUP_RESERVE_RATIO,
+    RateLimit, TokenAllocator, QUOTA_LEASE_MS, STARTUP_RESERVE_RATIO,
 };
 pub use rendezvous::rank;
 pub use replica_view::{ReplicaUpdate, ReplicaView, ReplicaViewError};
--- a/placement/src/quota/mod.rs
+++ b/placement/src/quota/mod.rs
@@ -1,9 +1,33 @@
-//! Tenants' quotas over all routers.
+//! Tenants' quotas, kept over all routers together, in one of two ways.
+//!
+//! With leases (`lease_limiter` at the routers, `lease_allocator` at the leader) a request is
+//! admitted or rejected at once, by what the leader lent to the router before. With queueing
+//! (`queueing_limiter`, `token_allocator`) a request that has no token yet waits until the
+//! leader has given one.
+//!
+//! In both, router and leader exchange counts since the router's process started, never
+//! differences, so that a heartbeat or an answer that is lost, late or repeated changes
+//! nothing.
 
+mod admission_history;
+mod lease_account;
+mod lease_allocator;
 mod lease_limiter;
+mod lease_pool;
 mod queueing_limiter;
+mod rate_limit;
+mod tenant_lease;
+mod tenant_queue;
+mod token_account;
+mod token_allocator;
+mod token_bucket;
+mod tolerance;
 
-pub use lease_limiter::{
-    LeaseRateLimiter, QuotaLeaseAllocator, QuotaTolerance, QUOTA_LEASE_MS, STARTUP_RESERVE_RATIO,
-};
-pub use queueing_limiter::{AdmissionDecision, QueueingRateLimiter, TokenAllocator};
+pub use lease_allocator::QuotaLeaseAllocator;
+pub use lease_limiter::LeaseRateLimiter;
+pub use queueing_limiter::QueueingRateLimiter;
+pub use rate_limit::RateLimit;
+pub use tenant_lease::QUOTA_LEASE_MS;
+pub use tenant_queue::AdmissionDecision;
+pub use token_allocator::TokenAllocator;
+pub use tolerance::{QuotaTolerance, STARTUP_RESERVE_RATIO};
--- a/placement/tests/queueing_quota.rs
+++ b/placement/tests/queueing_quota.rs
@@ -3,11 +3,18 @@
 mod common;
 
 use common::draws;
-use placement::{AdmissionDecision, QueueingRateLimiter, TokenAllocator};
+use placement::{AdmissionDecision, QueueingRateLimiter, RateLimit, TokenAllocator};
 use protocol::{RouterDemand, RouterGrants, LEASE_MS};
 
 const PATIENCE: u64 = 2_500;
 
+fn quota(requests_per_s: u64, burst: u64) -> RateLimit {
+    RateLimit {
+        requests_per_s,
+        burst,
+    }
+}
+
 /// What befalls a run, besides its traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
@@ -39,7 +46,7 @@
 /// until the next job, in microseconds.
 fn run(
     routers: usize,
-    terms: (u64, u64),
+    limit: RateLimit,
     each: impl Fn(u64) -> u64,
     fault: Fault,
     seed: u64,
@@ -97,7 +104,7 @@
                 continue;
             };
             said += 1;
-            let answer = paces.allocate(now, &demand, |_| Some(terms));
+            let answer = paces.allocate(now, &demand, |_| Some(limit));
             if fault == Fault::Losses && said % 5 == 0 {
                 up.push((now + 60, router, asked, demand));
             }
@@ -109,7 +116,7 @@
         down = later;
         for (_, router, asked, answer) in come {
             if !is_frozen(router) {
-                fleet[router].apply_shares(now, answer.heartbeat, asked + LEASE_MS, &answer.grants);
+                fleet[router].apply_grants(now, answer.heartbeat, asked + LEASE_MS, &answer.grants);
             }
         }
         queue.retain(|job| {
@@ -166,7 +173,7 @@
                 .flat_map(|seed| [80, 95, 100, 200, 600].map(|percent| (percent, seed)))
             {
                 let each = 1_000_000 * 100 / pace / percent;
-                let seen = run(routers, (pace, pace * 2), |_| each, fault, seed);
+                let seen = run(routers, quota(pace, pace * 2), |_| each, fault, seed);
                 let what = format!(
                     "{fault:?}, pace {pace}, {routers} routers, {percent} %, seed {seed}: \
                      {} admitted, {} refused, longest wait {} ms",
@@ -214,7 +221,7 @@
             200_000
         }
     };
-    let seen = run(9, (10, 20), each, Fault::None, 1);
+    let seen = run(9, quota(10, 20), each, Fault::None, 1);
     let second = |from: u64| {
         let inside = |at: &&u64| (from..from + 1_000).contains(*at);
         seen.admitted.iter().filter(inside).count().to_string()
--- a/placement/tests/quota_leases.rs
+++ b/placement/tests/quota_leases.rs
@@ -1,6 +1,8 @@
 //! Tenants' quotas over whole fleets in virtual time, from fixed seeds.
 
-use placement::{LeaseRateLimiter, QuotaLeaseAllocator, QuotaTolerance, STARTUP_RESERVE_RATIO};
+use placement::{
+    LeaseRateLimiter, QuotaLeaseAllocator, QuotaTolerance, RateLimit, STARTUP_RESERVE_RATIO,
+};
 use protocol::{RouterDemand, RouterGrants, LEASE_MS};
 
 const MARGIN: QuotaTolerance = QuotaTolerance {
@@ -8,6 +10,14 @@
     extra_requests: 20.0,
     window_ms: 5_000,
 };
+/// A quota whose burst is a second's rate.
+fn quota(requests_per_s: u64) -> RateLimit {
+    RateLimit {
+        requests_per_s,
+        burst: requests_per_s,
+    }
+}
+
 const STEP_MS: u64 = 5;
 const BEAT_MS: u64 = 350;
 /// Traffic begins once a fleet that was started all at once has settled.
@@ -209,7 +219,7 @@
                     .iter_mut()
                     .for_each(|demand| demand.queued = 0);
             }
-            let answer = pools.allocate(now, &demand, routers, |_| Some((rate_now, rate_now)));
+            let answer = pools.allocate(now, &demand, routers, |_| Some(quota(rate_now)));
             if draw(20) > 0 {
                 down.push((now + 20 + draw(131), at, asked, answer));
             }
@@ -220,7 +230,7 @@
         down = later;
         for (_, at, asked, answer) in come {
             if now >= cut[at] {
-                fleet[at].apply_shares(now, answer.heartbeat, asked + LEASE_MS, &answer.grants);
+                fleet[at].apply_grants(now, answer.heartbeat, asked + LEASE_MS, &answer.grants);
             }
         }
         // Callers know nothing of a rate that was lowered.
@@ -260,7 +270,7 @@
         for at in (0..routers).filter(|at| now >= frozen[*at]) {
             for _ in 0..std::mem::take(&mut waiting[at]) {
                 let rate = rate_at(at);
-                match fleet[at].admit(now, "t", rate, rate, routers) {
+                match fleet[at].admit(now, "t", quota(rate), routers) {
                     true => seen.admitted.push(now),
                     false if now < BEGIN_MS + 10_000 => seen.cold += 1,
                     false => seen.refused += 1,
@@ -479,9 +489,11 @@
 /// for at once, at a rate of 2 and a burst of 2, one router.
 #[test]
 fn basic_cases() {
-    let terms = |_: &str| Some((2, 2));
+    let terms = |_: &str| Some(quota(2));
     let burst = |taps: &mut LeaseRateLimiter, now: u64, jobs: u64| {
-        (0..jobs).filter(|_| taps.admit(now, "t", 2, 2, 1)).count()
+        (0..jobs)
+            .filter(|_| taps.admit(now, "t", quota(2), 1))
+            .count()
     };
     let number = |demand: &RouterDemand| demand.heartbeat;
     // Rate and burst allow 33 in a window; 8 of them are for the young, and half
@@ -494,8 +506,8 @@
         8,
         "no more"
     );
-    let unknown = taps.admit(20_000, "other", 2, 2, 1);
-    assert!(unknown && !LeaseRateLimiter::new(0, 8, MARGIN).admit(20_000, "t", 2, 2, 0));
+    let unknown = taps.admit(20_000, "other", quota(2), 1);
+    assert!(unknown && !LeaseRateLimiter::new(0, 8, MARGIN).admit(20_000, "t", quota(2), 0));
     let cases: [(&str, u64, bool, bool, usize); 3] = [
         (
             "a router without a word has its floor",
@@ -524,7 +536,7 @@
             let demand = taps.demand(now - 100, "a", 1);
             let answer = pools.allocate(now - 50, &demand, 1, terms);
             let until = if is_late { now } else { now - 100 + LEASE_MS };
-            taps.apply_shares(now, number(&demand), until, &answer.grants);
+            taps.apply_grants(now, number(&demand), until, &answer.grants);
         }
         assert_eq!(before + burst(&mut taps, now, 50), admitted, "{what}");
         assert_eq!(
@@ -550,7 +562,7 @@
         pools.allocate(10_060, &demand, 1, terms).grants.is_empty(),
         "said twice"
     );
-    taps.apply_shares(10_100, 2, 12_000, &first.grants);
+    taps.apply_grants(10_100, 2, 12_000, &first.grants);
     // It says so for a minute, gives its part back, and is silent once that is
     // known.
     assert_eq!(taps.demand(60_000, "a", 3).demands.len(), 1);
@@ -562,7 +574,7 @@
         "not yet known"
     );
     let answer = pools.allocate(70_500, &back, 1, terms);
-    taps.apply_shares(70_550, 4, 72_100, &answer.grants);
+    taps.apply_grants(70_550, 4, 72_100, &answer.grants);
     assert!(taps.demand(70_800, "a", 6).demands.is_empty());
 
     // A router that left leaves its part to others, a silent one does not.
@@ -577,17 +589,17 @@
                    now: u64,
                    front: &str,
                    number: u64| {
-            taps.admit(now, "t", 2, 2, 2);
+            taps.admit(now, "t", quota(2), 2);
             let demand = taps.demand(now, front, number);
             let answer = pools.allocate(now, &demand, 2, terms);
-            taps.apply_shares(now, number, now + LEASE_MS, &answer.grants);
+            taps.apply_grants(now, number, now + LEASE_MS, &answer.grants);
             answer
                 .grants
                 .first()
                 .map_or(0, |share| share.limit - demand.demands[0].admitted)
         };
         let [one, other] = &mut fleet;
-        other.admit(9_000, "t", 2, 2, 2);
+        other.admit(9_000, "t", quota(2), 2);
         ask(other, &mut pools, 10_000, "b", 1);
         ask(one, &mut pools, 10_000, "a", 1);
         ask(other, &mut pools, 10_350, "b", 2);
