--- a/consensus/tests/model/main.rs
+++ b/consensus/tests/model/main.rs
@@ -14,6 +14,7 @@
 mod server;
 #[path = "../support/mod.rs"]
 mod support;
+mod transitions;
 
 use actions::Scenario;
 use checker::{check, walk, Limits, Report};
--- a/consensus/tests/snapshots.rs
+++ b/consensus/tests/snapshots.rs
@@ -28,7 +28,7 @@
         ..Conditions::default()
     };
     let mut cluster = Cluster::led(1, conditions);
-    cluster.storm(200, 10);
+    cluster.schedule_proposals(200, 10);
     cluster.run(4_000);
     assert!(cluster.acknowledged > 200, "all are taken");
     let most = cluster.machines[0].disk.most_bytes();
@@ -47,7 +47,7 @@
             ..Conditions::default()
         };
         let mut cluster = Cluster::led(1, conditions);
-        cluster.storm(10_000, 10);
+        cluster.schedule_proposals(10_000, 10);
         for _ in 0..crashes {
             let pause = 1_000 + cluster.draw(2_500);
             cluster.run(pause);
