--- a/policy/src/extract.rs
+++ b/policy/src/extract.rs
@@ -1,38 +1,43 @@
-//! Reading a job's tenant key, service and prefix by the compiled rules.
-
-use crate::{find_field, FieldSearch, Program, Source, Target};
-use sha2::{Digest, Sha256};
-
-/// The head of a job, as the door saw it. `header` is handed the lower-case
-/// name.
-pub struct RequestHead<'a> {
-    pub method: &'a str,
-    pub path: &'a str,
-    pub query: &'a str,
-    pub header: &'a dyn Fn(&str) -> Option<String>,
-    /// The job's own number: what a split goes by where it has no prefix.
-    pub split_seed: u64,
-}
+//! Extracting a request's routing key (tenant key, service, prompt prefix) by the compiled
+//! rules, from its head and as much of its body as has come.
+
+use crate::hash::stable_hash;
+use crate::json_field::{find_field, FieldSearch};
+use crate::program::{
+    Ingress, Program, PromptPrefix, RequestHead, Route, Source, Target, WeightedService,
+};
+
+/// The most bytes of a request's body that a router holds back while it looks for the key.
+pub const BODY_LIMIT_BYTES: usize = 64 * 1024;
 
-/// One value of the key. Invariant: `Pending` is only given while the body may
-/// still go on and is below the cap.
+/// The most bytes of a value of the key.
+const MAX_VALUE_BYTES: usize = 256;
+
+/// One value of the key. Invariant: it is `Pending` only while the body may still grow.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyField {
+    /// The value.
     Known(String),
+    /// It may stand in a part of the body that has not come.
     Pending,
+    /// It is not there, empty, or too long.
     Missing,
 }
 
-/// What is known of a job's key so far.
+/// What is known of a request's key so far.
 #[derive(Debug, PartialEq)]
 pub struct ExtractedKey {
+    /// The tenant key.
     pub tenant: KeyField,
+    /// The service.
     pub service: KeyField,
-    /// The fingerprint of the prompt's prefix, 0 where the route names none.
+    /// The hash of the prompt's prefix; 0 where the route names none, `None` while more of
+    /// the body is needed.
     pub prefix_hash: Option<u64>,
 }
 
 impl ExtractedKey {
+    /// Whether more of the body would change nothing.
     pub fn is_complete(&self) -> bool {
         self.tenant != KeyField::Pending
             && self.service != KeyField::Pending
@@ -40,179 +45,178 @@
     }
 }
 
-/// Invariant: a body that has ended, or has reached the cap, grows no more.
+/// The part of a body that is looked at. Invariant: a body that is complete, or has reached
+/// the limit, grows no more.
 struct Body<'a> {
-    text: &'a [u8],
-    ended: bool,
+    bytes: &'a [u8],
+    is_complete: bool,
     may_grow: bool,
 }
 
-/// The digest under which a tenant key is kept and compared.
-pub fn sha256_hex(key: &str) -> String {
-    Sha256::digest(key.as_bytes())
-        .iter()
-        .map(|byte| format!("{byte:02x}"))
-        .collect()
-}
-
-/// A number for a text, to rank and compare by. All processes draw alike.
-pub fn stable_hash(text: &[u8]) -> u64 {
-    let digest = Sha256::digest(text);
-    u64::from_be_bytes(digest[..8].try_into().expect("eight bytes of a digest"))
-}
-
-fn decoded(raw: &[u8]) -> Option<String> {
-    let mut quoted = Vec::with_capacity(raw.len() + 2);
-    quoted.push(b'"');
-    quoted.extend_from_slice(raw);
-    quoted.push(b'"');
-    simd_json::from_slice::<String>(&mut quoted).ok()
-}
-
-fn unescaped(text: &str) -> Option<String> {
-    let mut bytes = Vec::with_capacity(text.len());
-    let mut rest = text.bytes();
-    while let Some(byte) = rest.next() {
-        if byte != b'%' {
-            bytes.push(byte);
-            continue;
+impl Program {
+    /// Extracts the key of a request on the route of index `route`. `is_body_complete` says
+    /// that no more of the body will come; past `limit_bytes` none of it is looked at.
+    ///
+    /// # Panics
+    /// If `route` is not an index that [`Program::match_route`] of this program gave.
+    pub fn extract_key(
+        &self,
+        route: usize,
+        head: &RequestHead,
+        body: &[u8],
+        is_body_complete: bool,
+        limit_bytes: usize,
+    ) -> ExtractedKey {
+        let route = &self.routes[route];
+        let ingress = &self.ingresses[route.ingress];
+        let body = Body {
+            bytes: &body[..body.len().min(limit_bytes)],
+            is_complete: is_body_complete && body.len() <= limit_bytes,
+            may_grow: !is_body_complete && body.len() < limit_bytes,
+        };
+        let prefix_hash = match (&route.prompt_prefix, &route.prompt_parts) {
+            (Some(prefix), _) => read_prefix_hash(prefix, head, &body),
+            (None, Some(_)) => Some(self.prompt(route, head).shared_prefix_hash()),
+            (None, None) => Some(0),
+        };
+        ExtractedKey {
+            tenant: read_field(&ingress.tenant_source, head, &body),
+            service: read_service(route, ingress, prefix_hash, head, &body),
+            prefix_hash,
         }
-        let pair = [rest.next()?, rest.next()?];
-        let pair = std::str::from_utf8(&pair).ok()?;
-        bytes.push(u8::from_str_radix(pair, 16).ok()?);
     }
-    String::from_utf8(bytes).ok()
 }
 
-/// A value that stands before the body.
-pub(crate) fn read_cheap(source: &Source, head: &RequestHead) -> Option<String> {
-    match source {
-        Source::Header(name) => (head.header)(name),
-        _ => match read(
-            source,
-            head,
-            &Body {
-                text: &[],
-                ended: true,
-                may_grow: false,
-            },
-        ) {
-            KeyField::Known(text) => Some(text),
-            _ => None,
+fn read_service(
+    route: &Route,
+    ingress: &Ingress,
+    prefix_hash: Option<u64>,
+    head: &RequestHead,
+    body: &Body,
+) -> KeyField {
+    match (&route.target, &ingress.model_source) {
+        (Target::Service(name), _) => KeyField::Known(name.clone()),
+        (Target::Split(services), _) => match prefix_hash {
+            Some(0) => KeyField::Known(choose_service(services, head.split_seed)),
+            Some(prefix_hash) => KeyField::Known(choose_service(services, prefix_hash)),
+            None => KeyField::Pending,
         },
+        (Target::Model, Some(source)) => read_field(source, head, body),
+        (Target::Model, None) => KeyField::Missing,
     }
 }
 
-fn read(source: &Source, head: &RequestHead, body: &Body) -> KeyField {
-    let value = match source {
+/// The value of a source in the head; `None` for one in the body, too.
+fn read_head(source: &Source, head: &RequestHead) -> Option<String> {
+    match source {
         Source::Header(name) => (head.header)(name),
-        Source::Bearer => (head.header)("authorization").and_then(|value| {
-            let (scheme, token) = value.split_once(' ')?;
-            scheme
-                .eq_ignore_ascii_case("bearer")
-                .then(|| token.trim().to_string())
-        }),
-        Source::Segment(place) => head
-            .path
-            .split('/')
-            .filter(|part| !part.is_empty())
-            .nth(place - 1)
-            .and_then(unescaped),
+        Source::Bearer => {
+            let authorization = (head.header)("authorization")?;
+            let (scheme, token) = authorization.split_once(' ')?;
+            let is_bearer = scheme.eq_ignore_ascii_case("bearer");
+            is_bearer.then(|| token.trim().to_string())
+        }
+        Source::Segment(number) => {
+            let mut segments = head.path.split('/').filter(|segment| !segment.is_empty());
+            percent_decode(segments.nth(number - 1)?)
+        }
         Source::Query(name) => head.query.split('&').find_map(|pair| {
-            let (left, right) = pair.split_once('=')?;
-            (left == name).then(|| unescaped(right))?
+            let (field, value) = pair.split_once('=')?;
+            (field == name).then(|| percent_decode(value))?
         }),
-        Source::Body(path) => match find_field(body.text, path, body.ended) {
+        Source::Body(_) => None,
+    }
+}
+
+fn is_key_value(text: &str) -> bool {
+    !text.is_empty() && text.len() <= MAX_VALUE_BYTES
+}
+
+/// What a request's head says of its prompt, by a source before the body. A header may be
+/// of any length, since it lists the prompt's parts.
+pub(crate) fn read_prompt_source(source: &Source, head: &RequestHead) -> Option<String> {
+    let value = read_head(source, head)?;
+    let is_header = matches!(source, Source::Header(_));
+    (is_header || is_key_value(&value)).then_some(value)
+}
+
+fn read_field(source: &Source, head: &RequestHead, body: &Body) -> KeyField {
+    let value = match source {
+        Source::Body(path) => match find_field(body.bytes, path, body.is_complete) {
             FieldSearch::Found {
                 raw,
                 is_complete: true,
-            } => decoded(&raw),
-            FieldSearch::Found {
-                is_complete: false, ..
-            }
-            | FieldSearch::Incomplete
-                if body.may_grow =>
-            {
+            } => json_unescape(&raw),
+            FieldSearch::Found { .. } | FieldSearch::Incomplete if body.may_grow => {
                 return KeyField::Pending
             }
             _ => None,
         },
+        source => read_head(source, head),
     };
     match value {
-        Some(text) if !text.is_empty() && text.len() <= 256 => KeyField::Known(text),
+        Some(text) if is_key_value(&text) => KeyField::Known(text),
         _ => KeyField::Missing,
     }
 }
 
-fn prefix(source: &Source, length: usize, head: &RequestHead, body: &Body) -> Option<u64> {
-    let Source::Body(path) = source else {
-        return match read(source, head, body) {
-            KeyField::Known(text) => Some(stable_hash(&text.as_bytes()[..text.len().min(length)])),
+/// The hash of a prompt's prefix; 0 where the text is missing, `None` while too little of
+/// it has come.
+fn read_prefix_hash(prefix: &PromptPrefix, head: &RequestHead, body: &Body) -> Option<u64> {
+    let hash = |text: &[u8]| stable_hash(&text[..text.len().min(prefix.max_bytes)]);
+    let Source::Body(path) = &prefix.source else {
+        return match read_field(&prefix.source, head, body) {
+            KeyField::Known(text) => Some(hash(text.as_bytes())),
             _ => Some(0),
         };
     };
-    match find_field(body.text, path, body.ended) {
+    match find_field(body.bytes, path, body.is_complete) {
         FieldSearch::Found { raw, is_complete }
-            if is_complete || raw.len() >= length || !body.may_grow =>
+            if is_complete || raw.len() >= prefix.max_bytes || !body.may_grow =>
         {
-            Some(stable_hash(&raw[..raw.len().min(length)]))
+            Some(hash(&raw))
         }
         FieldSearch::Found { .. } | FieldSearch::Incomplete if body.may_grow => None,
         _ => Some(0),
     }
 }
 
-/// The service whose share a number falls into.
-fn drawn(shares: &[(String, u32)], number: u64) -> String {
-    let sum: u64 = shares.iter().map(|(_, share)| u64::from(*share)).sum();
-    let mut left = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) % sum;
-    for (name, share) in shares {
-        match left.checked_sub(u64::from(*share)) {
-            None => return name.clone(),
-            Some(rest) => left = rest,
+/// Undoes the escapes of a JSON string that lies without its quotes.
+fn json_unescape(raw: &[u8]) -> Option<String> {
+    let mut quoted = Vec::with_capacity(raw.len() + 2);
+    quoted.push(b'"');
+    quoted.extend_from_slice(raw);
+    quoted.push(b'"');
+    simd_json::from_slice::<String>(&mut quoted).ok()
+}
+
+fn percent_decode(text: &str) -> Option<String> {
+    let mut bytes = Vec::with_capacity(text.len());
+    let mut rest = text.bytes();
+    while let Some(byte) = rest.next() {
+        if byte != b'%' {
+            bytes.push(byte);
+            continue;
         }
+        let digits = [rest.next()?, rest.next()?];
+        let digits = std::str::from_utf8(&digits).ok()?;
+        bytes.push(u8::from_str_radix(digits, 16).ok()?);
     }
-    unreachable!("a number below the sum falls into a share")
+    String::from_utf8(bytes).ok()
 }
 
-impl Program {
-    /// Reads the key of a job on `route` from its head and as much of its
-    /// body as is there. `ended` says that the body is complete; past `cap`
-    /// none of it is looked at.
-    pub fn extract_key(
-        &self,
-        route: usize,
-        head: &RequestHead,
-        body: &[u8],
-        ended: bool,
-        cap: usize,
-    ) -> ExtractedKey {
-        let route = &self.routes[route];
-        let door = &self.ingresses[route.ingress];
-        let body = Body {
-            text: &body[..body.len().min(cap)],
-            ended: ended && body.len() <= cap,
-            may_grow: !ended && body.len() < cap,
-        };
-        let prefix = match (&route.prompt_prefix, &route.prompt_parts) {
-            (Some((source, length)), _) => prefix(source, *length, head, &body),
-            (None, Some(_)) => Some(self.prompt(route, head).shared_prefix_hash()),
-            (None, None) => Some(0),
-        };
-        let service = match (&route.target, &door.model_source) {
-            (Target::Service(name), _) => KeyField::Known(name.clone()),
-            (Target::Split(shares), _) => match prefix {
-                Some(0) => KeyField::Known(drawn(shares, head.split_seed)),
-                Some(prefix) => KeyField::Known(drawn(shares, prefix)),
-                None => KeyField::Pending,
-            },
-            (Target::Model, Some(source)) => read(source, head, &body),
-            (Target::Model, None) => KeyField::Missing,
-        };
-        ExtractedKey {
-            tenant: read(&door.tenant_source, head, &body),
-            service,
-            prefix_hash: prefix,
+/// The service whose share a hash falls into.
+fn choose_service(services: &[WeightedService], hash: u64) -> String {
+    // Fibonacci hashing: spreads hashes that differ little.
+    const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
+    let weights = services.iter().map(|service| u64::from(service.weight));
+    let sum: u64 = weights.sum();
+    let mut rest = hash.wrapping_mul(GOLDEN_RATIO) % sum;
+    for service in services {
+        match rest.checked_sub(u64::from(service.weight)) {
+            None => return service.service.clone(),
+            Some(less) => rest = less,
         }
     }
+    unreachable!("a number below the sum of the weights falls into a share")
 }
--- a/policy/src/prompt.rs
+++ b/policy/src/prompt.rs
@@ -1,32 +1,37 @@
-//! What a job says of its prompt: the parts that it is made of, and its size.
+//! What a request's head says of its prompt: the parts that it is made of, and its size.
 
-use crate::extract::{read_cheap, stable_hash};
-use crate::{Program, RequestHead, Route};
+use crate::extract::read_prompt_source;
+use crate::hash::stable_hash;
+use crate::program::{Program, RequestHead, Route};
 
 /// The most parts that are looked at.
-const MOST: usize = 64;
+const MAX_PARTS: usize = 64;
 
 /// One part of a prompt, which other prompts may share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PromptPart {
-    /// A number for this part and all before it: an engine that keeps this part
-    /// keeps those, too.
+    /// A hash of this part and all before it: an engine whose prefix cache holds this part
+    /// holds those, too.
     pub prefix_hash: u64,
+    /// The part's tokens.
     pub tokens: u32,
 }
 
-/// Invariant: `parts` are in the prompt's order; the last one belongs to the job
-/// or its session alone.
+/// A prompt as its request states it. Invariant: `parts` are in the prompt's order; the last
+/// one belongs to the request or its session alone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prompt {
+    /// The parts; empty where none are stated.
     pub parts: Vec<PromptPart>,
+    /// The tokens of the whole prompt.
     pub input_tokens: u32,
+    /// The most tokens of the response; 0 where it is not stated.
     pub max_output_tokens: u32,
 }
 
 impl Prompt {
-    /// What jobs that share most of their prompt have in common; 0 where
-    /// nothing is known.
+    /// A hash of all parts but the last, which requests of one kind share; 0 where no parts
+    /// are stated.
     pub fn shared_prefix_hash(&self) -> u64 {
         let shared = self.parts.len().saturating_sub(1).max(1);
         self.parts
@@ -35,11 +40,13 @@
     }
 }
 
-/// Reads `ID:TOKENS,ID:TOKENS`. What can't be read ends the list.
-fn parts(text: &str) -> Vec<PromptPart> {
+/// Parses `ID:TOKENS,ID:TOKENS`. An item that does not parse ends the list.
+fn parse_parts(text: &str) -> Vec<PromptPart> {
+    // Fibonacci hashing: spreads ids that differ little.
+    const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
     let mut parts: Vec<PromptPart> = Vec::new();
-    let mut before = 0;
-    for item in text.split(',').take(MOST) {
+    let mut prefix_hash = 0;
+    for item in text.split(',').take(MAX_PARTS) {
         let Some((id, tokens)) = item.trim().split_once(':') else {
             break;
         };
@@ -47,37 +54,39 @@
             break;
         };
         let id = u64::from_str_radix(id, 16).unwrap_or_else(|_| stable_hash(id.as_bytes()));
-        before = (before ^ id)
-            .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        // Never 0, which stands for no parts.
+        prefix_hash = (prefix_hash ^ id)
+            .wrapping_mul(GOLDEN_RATIO)
             .rotate_left(29)
             | 1;
         parts.push(PromptPart {
-            prefix_hash: before,
+            prefix_hash,
             tokens,
         });
     }
     parts
 }
 
+/// Parses `IN,OUT`; a count that does not parse is 0.
+fn parse_size(text: &str) -> Option<(u32, u32)> {
+    let (input, output) = text.split_once(',')?;
+    let count = |text: &str| text.trim().parse().unwrap_or(0);
+    Some((count(input), count(output)))
+}
+
 impl Program {
-    /// What the head of a job on `route` says of its prompt.
+    /// What the head of a request on `route` says of its prompt. Without a stated size the
+    /// prompt has the tokens of its parts.
     pub fn prompt(&self, route: &Route, head: &RequestHead) -> Prompt {
-        let listed = route
-            .prompt_parts
-            .as_ref()
-            .and_then(|source| read_cheap(source, head));
-        let parts = listed.map_or(Vec::new(), |text| parts(&text));
-        let size = route
-            .prompt_size
-            .as_ref()
-            .and_then(|source| read_cheap(source, head));
-        let size = size.as_deref().and_then(|text| text.split_once(','));
-        let number = |text: &str| text.trim().parse().unwrap_or(0);
-        let all: u32 = parts
-            .iter()
-            .fold(0, |sum, part| sum.saturating_add(part.tokens));
-        let (input_tokens, max_output_tokens) =
-            size.map_or((all, 0), |(i, o)| (number(i), number(o)));
+        let read = |source| read_prompt_source(source, head);
+        let parts = route.prompt_parts.as_ref().and_then(read);
+        let parts = parts.map_or(Vec::new(), |text| parse_parts(&text));
+        let size = route.prompt_size.as_ref().and_then(read);
+        let size = size.as_deref().and_then(parse_size);
+        let (input_tokens, max_output_tokens) = size.unwrap_or_else(|| {
+            let add = |sum: u32, part: &PromptPart| sum.saturating_add(part.tokens);
+            (parts.iter().fold(0, add), 0)
+        });
         Prompt {
             parts,
             input_tokens,
--- a/testbed/tests/commands.rs
+++ b/testbed/tests/commands.rs
@@ -269,7 +269,7 @@
             "operator",
             vec!["check", &book, "--rules", &rules],
             1,
-            vec!["line 2, column 10: a percentage"],
+            vec!["line 2, column 10: expected a percentage"],
         ),
         (
             "replay",
