--- a/testbed/src/bin/fleet.rs
+++ b/testbed/src/bin/fleet.rs
@@ -48,7 +48,7 @@
         .map(|desk| desk.to_string())
         .collect();
     let desks = desks.join(",");
-    std::fs::write(folder.join("desks"), &desks)?;
-    println!("desks: {desks}\nup; ends with Ctrl-C");
+    std::fs::write(folder.join("operator-api-addresses"), &desks)?;
+    println!("operator APIs: {desks}\nup; ends with Ctrl-C");
     std::future::pending().await
 }
--- a/testbed/src/replay.rs
+++ b/testbed/src/replay.rs
@@ -268,7 +268,7 @@
         while std::time::Instant::now() < until {
             let (body, id, desks) = (body.clone(), id.clone(), desks.clone());
             let command = tokio::task::spawn_blocking(move || {
-                operator(&["--desk", &desks, "--id", &id, "submit"], &body)
+                operator(&["--operator-api", &desks, "--id", &id, "submit"], &body)
             });
             let (is_done, text) = match command.await.expect("the command is waited for") {
                 Ok(done) => done,
--- a/testbed/tests/commands.rs
+++ b/testbed/tests/commands.rs
@@ -153,8 +153,8 @@
             vec!["line 2, column"],
         ),
         (
-            "operator",
-            vec!["windows", "--check", "--days", "3650", &good],
+            "rushctl",
+            vec!["maintenance", "--check", "--days", "3650", &good],
             0,
             vec![
                 "evacuate south-a from 2036-01-05T06:55:00+00:00 until 2036-01-05T09:00:00+00:00",
@@ -163,8 +163,8 @@
             ],
         ),
         (
-            "operator",
-            vec!["windows", "--check", "--days", "3650", &bad],
+            "rushctl",
+            vec!["maintenance", "--check", "--days", "3650", &bad],
             1,
             vec![
                 "event 1 (w1): it ends before it begins",
@@ -174,7 +174,12 @@
                 "event 5 (w5): DTSTART is a day",
             ],
         ),
-        ("operator", vec!["windows", "--check", &day], 1, vec!["day"]),
+        (
+            "rushctl",
+            vec!["maintenance", "--check", &day],
+            1,
+            vec!["day"],
+        ),
         (
             "router",
             vec!["--help"],
@@ -218,46 +223,46 @@
             2,
             vec!["no whole number from 1 to 9"],
         ),
-        ("operator", vec![], 2, vec!["a command is missing"]),
+        ("rushctl", vec![], 2, vec!["a command is missing"]),
         (
-            "operator",
+            "rushctl",
             vec!["--help"],
             0,
             vec!["evacuate ZONE", "--wait SECONDS"],
         ),
         (
-            "operator",
-            vec!["--help", "revise"],
+            "rushctl",
+            vec!["--help", "apply"],
             0,
-            vec!["operator revise FILE", "--partial"],
+            vec!["rushctl apply FILE", "--partial"],
         ),
-        ("operator", vec!["frobnicate"], 2, vec!["no such command"]),
+        ("rushctl", vec!["frobnicate"], 2, vec!["no such command"]),
         (
-            "operator",
+            "rushctl",
             vec!["evacuate"],
             2,
-            vec!["usage: operator evacuate ZONE"],
+            vec!["usage: rushctl evacuate ZONE"],
         ),
         (
-            "operator",
+            "rushctl",
             vec!["status", "--wait", "3"],
             2,
             vec!["status knows no --wait"],
         ),
         (
-            "operator",
-            vec!["--desk", "x", "status"],
+            "rushctl",
+            vec!["--operator-api", "x", "status"],
             2,
             vec!["x: no IP number and port"],
         ),
         (
-            "operator",
-            vec!["--desk", "127.0.0.1:1", "status"],
+            "rushctl",
+            vec!["--operator-api", "127.0.0.1:1", "status"],
             1,
             vec!["asking 127.0.0.1:1"],
         ),
         (
-            "operator",
+            "rushctl",
             vec!["check", &book],
             1,
             vec![
@@ -266,7 +271,7 @@
             ],
         ),
         (
-            "operator",
+            "rushctl",
             vec!["check", &book, "--rules", &rules],
             1,
             vec!["line 2, column 10: expected a percentage"],
@@ -302,9 +307,9 @@
         .collect();
     let desks = desks.join(",");
     let operator = |args: &[&str], input: &str| {
-        let mut all = vec!["--desk", &desks];
+        let mut all = vec!["--operator-api", &desks];
         all.extend(args);
-        let output = run("operator", &all, input);
+        let output = run("rushctl", &all, input);
         (output.status.code(), words(&output))
     };
     let part = folder.0.join("part.json");
@@ -313,7 +318,7 @@
     let door = fleet.get("router-2").client_address();
 
     let cases: Vec<(Vec<&str>, &str, i32, Vec<&str>)> = vec![
-        (vec!["found"], "", 1, vec!["founded-already (409)"]),
+        (vec!["bootstrap"], "", 1, vec!["founded-already (409)"]),
         (
             vec!["key-add", "cleo", "--wait", "20"],
             "cleo-key-0003\n",
@@ -321,19 +326,19 @@
             vec!["no tenant cleo"],
         ),
         (
-            vec!["revise", "--partial", &part, "--wait", "20", "--id", "r-1"],
+            vec!["apply", "--partial", &part, "--wait", "20", "--id", "r-1"],
             "",
             0,
             vec!["in force everywhere"],
         ),
         (
-            vec!["revise", "--partial", &part, "--id", "r-1"],
+            vec!["apply", "--partial", &part, "--id", "r-1"],
             "",
             0,
             vec!["a repeat"],
         ),
         (
-            vec!["revise", "--partial", &part, "--base", "1"],
+            vec!["apply", "--partial", &part, "--base", "1"],
             "",
             1,
             vec!["conflict (409)"],
@@ -358,7 +363,7 @@
         ),
         (vec!["explain", "cleo", "pictures"], "", 1, vec!["no-place"]),
         (vec!["members"], "", 0, vec!["directory-3", "leads"]),
-        (vec!["book"], "", 0, vec!["cleo"]),
+        (vec!["topology"], "", 0, vec!["cleo"]),
         (
             vec!["engine-drain", "engine-1", "--wait", "20"],
             "",
@@ -406,7 +411,12 @@
             0,
             vec!["acknowledged"],
         ),
-        (vec!["retire", "zz"], "", 1, vec!["16 hexadecimal digits"]),
+        (
+            vec!["remove-member", "zz"],
+            "",
+            1,
+            vec!["16 hexadecimal digits"],
+        ),
     ];
     for (args, input, code, wanted) in cases {
         let (found_code, found) = operator(&args, input);
@@ -429,7 +439,7 @@
         stamp(6)
     );
     std::fs::write(&calendar, text).expect("written");
-    let (code, found) = operator(&["windows", &calendar.display().to_string()], "");
+    let (code, found) = operator(&["maintenance", &calendar.display().to_string()], "");
     assert_eq!(code, Some(0), "{found}");
     for is_shut in [true, false] {
         let patience = std::time::Duration::from_secs(30);
@@ -447,7 +457,7 @@
         engine, "engine-2",
         "the other engine of the cell is drained"
     );
-    let (code, found) = operator(&["key-drop", "--wait", "20"], "cleo-key-0003\n");
+    let (code, found) = operator(&["key-remove", "--wait", "20"], "cleo-key-0003\n");
     assert_eq!(code, Some(0), "{found}");
     assert_eq!(
         refused(door, &prompt("j-2", "cleo-key-0003", "x")).await,
@@ -468,9 +478,9 @@
     }
     assert_eq!(forwards().await, before + 3);
     // Nor while a zone of its first home is evacuated.
-    let (code, found) = operator(&["give-back", "south-a", "--wait", "20"], "");
+    let (code, found) = operator(&["reinstate", "south-a", "--wait", "20"], "");
     assert_eq!(code, Some(0), "{found}");
-    let (code, found) = operator(&["settle", "ben", "writer", "--wait", "20"], "");
+    let (code, found) = operator(&["complete-move", "ben", "writer", "--wait", "20"], "");
     assert_eq!(code, Some(0), "{found}");
     for n in 3..6 {
         whole(door, &prompt(&format!("m-{n}"), "ben-key-0002", "x")).await;
