--- a/directory/src/forwarded_requests/serve.rs
+++ b/directory/src/forwarded_requests/serve.rs
@@ -52,7 +52,7 @@
     link::send(&mut writer, &Frame::Ready).await?;
     let head = receive_head(&mut reader).await?;
     control.metrics.increment("jobs-forwarded");
-    log::info!(request = head.id.as_str(); "A forwarded request arrived");
+    log::info!(job = head.id.as_str(); "its body is here");
     let resolved = match resolve_in_time(&control, &head, &mut reader).await? {
         Ok(resolved) => resolved,
         Err(refusal) => return link::send(&mut writer, &refused(&refusal)).await,
@@ -111,7 +111,7 @@
         control.metrics.increment("refused-quota");
         return Err(refusal);
     }
-    log::info!(request = head.id.as_str(); "A forwarded request was admitted to its tenant's quota");
+    log::info!(job = head.id.as_str(); "admitted");
     Ok(())
 }
 
