--- a/placement/tests/cache.rs
+++ b/placement/tests/cache.rs
@@ -28,7 +28,7 @@
 
 proptest::proptest! {
     #[test]
-    fn the_least_recently_used_go_first(
+    fn the_least_recently_used_is_evicted_first(
         steps in proptest::collection::vec((0u8..12, proptest::bool::ANY), 1..200)
     ) {
         let mut cache = Cache::new(4);
--- a/placement/tests/engine_health_tracker.rs
+++ b/placement/tests/engine_health_tracker.rs
@@ -169,7 +169,7 @@
 /// Guards: an engine coming back cold is not flooded before it has warmed
 /// up, however many processes there are, with one engine cold or all.
 #[test]
-fn cold_engines_keep_to_their_limit_over_a_fleet() {
+fn engines_keep_their_slow_start_limit_over_a_fleet() {
     for (routers, engines) in [(1, 1), (9, 1), (9, 4), (14, 9)] {
         for seed in 0..6 {
             let flood = crowd(routers, engines, seed);
--- a/placement/tests/engine_load_estimator.rs
+++ b/placement/tests/engine_load_estimator.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_job_goes_where_its_prefix_is_kept_until_that_engine_is_busy() {
+fn a_request_goes_to_the_engine_that_caches_its_prefix_until_it_is_busy() {
     let view = view(&[
         engine("a", "north-a", 0),
         engine("b", "north-a", 0),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn engines_that_fail_or_decline_are_passed_over_unless_there_is_no_other() {
+fn engines_that_failed_or_were_full_are_selected_last() {
     let view = view(&[engine("a", "north-a", 0), engine("b", "north-a", 0)]);
     let mut estimates = EngineLoadEstimator::default();
     estimates.apply_view(1_000, &view);
@@ -177,7 +177,7 @@
 /// Guards: a cold engine is not flooded, summed over all routers. Every router
 /// wants to begin work there all the time; some see a few routers more or fewer.
 #[test]
-fn cold_engines_keep_to_their_pace_over_a_fleet() {
+fn engines_keep_their_warm_up_rate_over_a_fleet() {
     for (fleet, differ) in [(1usize, 0usize), (9, 1), (74, 4)] {
         let cold = view(&[engine("a", "north-a", 3_000)]);
         let peers: Vec<u64> = (1..=fleet as u64)
@@ -219,7 +219,7 @@
 
 /// A zone that is given back may have gone cold; the list may not say so yet.
 #[test]
-fn the_engines_of_a_zone_given_back_are_taken_for_cold() {
+fn engines_of_a_reinstated_zone_warm_up_again() {
     let mut seen = view(&[engine("a", "north-a", 0)]);
     let mut estimates = EngineLoadEstimator::default();
     estimates.apply_view(1_000, &seen);
@@ -255,7 +255,7 @@
 /// What routers tell each other: a job goes past an engine that another router has
 /// filled, and to one that another router has warmed.
 #[test]
-fn what_others_have_at_engines_and_what_is_kept_there_counts() {
+fn load_and_cached_prefixes_of_other_routers_count() {
     let view = view(&[
         engine("a", "north-a", 0),
         engine("b", "north-a", 0),
--- a/placement/tests/quota_leases.rs
+++ b/placement/tests/quota_leases.rs
@@ -365,7 +365,7 @@
 
 /// Guards: no window passes the margin, whatever befalls a fleet of nine.
 #[test]
-fn nine_routers_keep_the_margin() {
+fn nine_routers_stay_within_the_tolerance() {
     for (traffic, faults) in TRAFFIC.iter().flat_map(|t| FAULTS.map(|f| (*t, f))) {
         for rate in [2, 10, 100] {
             sweep((0..4).map(|seed| plan(9, rate, traffic, faults, seed)));
@@ -376,7 +376,7 @@
 /// Guards: nor where parts move several times within half a window, and all
 /// processes are lost.
 #[test]
-fn fast_beats_keep_the_margin() {
+fn frequent_heartbeats_stay_within_the_tolerance() {
     for (traffic, faults) in [
         (Traffic::Floods, Faults::Wholesale),
         (Traffic::Threefold, Faults::Wholesale),
@@ -392,7 +392,7 @@
 
 /// Guards: nor does it in a fleet of 74.
 #[test]
-fn many_routers_keep_the_margin() {
+fn many_routers_stay_within_the_tolerance() {
     for traffic in [Traffic::Threefold, Traffic::Floods] {
         for faults in [
             Faults::CutOffs,
@@ -409,7 +409,7 @@
 
 /// Guards: a rate that is lowered binds the first window after three seconds.
 #[test]
-fn a_lowered_rate_binds() {
+fn a_lowered_quota_is_in_force_after_three_seconds() {
     let mut most: f64 = 0.0;
     for (seed, faults) in (0..6).flat_map(|seed| FAULTS.map(|faults| (seed, faults))) {
         let plan = Plan {
@@ -426,7 +426,7 @@
 
 /// Guards: a tenant at 1/1.6 of its rate is refused no more than the page says.
 #[test]
-fn within_its_quota_little_is_refused() {
+fn within_its_quota_little_is_rejected() {
     for (rate, most) in [
         (2, 25.0),
         (5, 40.0),
@@ -444,7 +444,7 @@
 /// The checker finds what is wrong: with any of these guards off, windows pass the
 /// margin.
 #[test]
-fn without_a_guard_the_margin_is_passed() {
+fn without_a_guard_the_tolerance_is_exceeded() {
     for (guard, faults) in [
         (Guard::Connections, Faults::Restarts),
         (Guard::YoungFloors, Faults::Wholesale),
--- a/placement/tests/replica_view.rs
+++ b/placement/tests/replica_view.rs
@@ -10,7 +10,7 @@
 /// 3 s, since no lease outlives what it did not know. A router goes from
 /// node to node, each of which is behind by something; frames come late.
 #[test]
-fn a_lease_never_covers_what_its_holder_does_not_know() {
+fn a_lease_never_covers_an_entry_that_the_router_lacks() {
     for seed in 0..400 {
         let mut draw = draws(seed);
         // When each epoch counted.
--- a/placement/tests/request_state.rs
+++ b/placement/tests/request_state.rs
@@ -5,7 +5,7 @@
 
 /// Guards: nothing non-repeatable runs twice; `not-run` is true.
 #[test]
-fn the_chart_case_by_case() {
+fn each_path_ends_in_its_state_and_outcome() {
     let start = [RoutingKeyExtracted, MappingResolved, EngineSelected];
     let cases: Vec<(bool, &[RequestEvent], RequestState, ExecutionOutcome)> = vec![
         (false, &[], RequestState::Selected, ExecutionOutcome::NotRun),
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn what_the_chart_forbids() {
+fn forbidden_transitions_are_rejected() {
     let cases: Vec<(bool, Vec<RequestEvent>, RequestEvent)> = vec![
         (false, vec![], SendStarted),
         (
@@ -166,7 +166,7 @@
     /// Whatever happens in whatever order, a request that is not repeatable
     /// never commits again after a commit that was not declined.
     #[test]
-    fn once_is_once(picks in proptest::collection::vec(0usize..15, 0..40)) {
+    fn a_request_that_is_not_idempotent_is_sent_once(picks in proptest::collection::vec(0usize..15, 0..40)) {
         let all = [
             RoutingKeyExtracted, MappingResolved, EngineSelected, ConnectFailed, SendStarted, NotRun,
             NothingSent, ResponseLost, Forwarded, ForwardNotRun, ResponseStarted, ResponseEnded, ResponseBroken,
--- a/placement/tests/retry_budget.rs
+++ b/placement/tests/retry_budget.rs
@@ -11,7 +11,7 @@
 /// Guards: retries do not grow beyond the bound, over all routers together, in any
 /// window, while routers restart and traffic swings; every job wants more rounds.
 #[test]
-fn further_rounds_keep_the_bound_in_every_window() {
+fn retries_stay_within_the_budget_in_every_window() {
     for seed in 1..12u64 {
         let mut state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
         let mut draw = |below: u64| {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn nothing_is_spent_for_services_or_fleets_that_are_not_known() {
+fn no_retry_for_an_unknown_service_or_fleet_size() {
     let mut allowance = RetryBudget::new(BOUND);
     assert!(!allowance.try_withdraw(1, "s", 3), "no job came for it");
     allowance.deposit(1, "s");
--- a/placement/tests/retry_token_bucket.rs
+++ b/placement/tests/retry_token_bucket.rs
@@ -9,7 +9,7 @@
 /// and over any short time. Processes come and go, traffic swings, and every
 /// job wants a further round.
 #[test]
-fn further_rounds_stay_below_a_fifth() {
+fn retries_stay_below_a_fifth_of_first_attempts() {
     let mut draw = draws(1);
     for _ in 0..12 {
         let mut fleet: Vec<RetryTokenBucket> =
--- a/placement/tests/router_membership.rs
+++ b/placement/tests/router_membership.rs
@@ -44,7 +44,7 @@
 /// Guards: a router knows of the others what a whole list would tell it, whatever
 /// comes, leaves, restarts, and is not sent because the way is full.
 #[test]
-fn both_ends_have_what_a_whole_list_says() {
+fn both_ends_hold_the_full_list() {
     for seed in 0..200 {
         let mut state: u64 = seed * 7_919 + 1;
         let mut draw = |below: u64| {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn ages_and_epochs_are_no_news() {
+fn ages_and_epochs_are_not_sent_again() {
     let list = |epoch, age| {
         (1..=350)
             .map(|n| front(n, epoch, false, age))
--- a/placement/tests/slow_start.rs
+++ b/placement/tests/slow_start.rs
@@ -4,7 +4,7 @@
 
 /// Guards: an engine coming back cold is not flooded.
 #[test]
-fn a_cold_engine_warms_up_by_answers() {
+fn the_limit_grows_with_responses() {
     let limits: Vec<u32> = (0..=SLOW_START_RESPONSES)
         .map(|n| SlowStart::after_responses(n).limit(8))
         .collect();
