--- a/testbed/src/bin/engine.rs
+++ b/testbed/src/bin/engine.rs
@@ -1,35 +1,53 @@
-//! A stand-in engine as a process of its own.
+//! A simulated engine as a process of its own.
 
 use settings::{setting, Setting, SettingsReader};
+use testbed::renamed_options::{self, RenamedOption};
 
 const SETTINGS: &[Setting] = &[
     setting("name", "NAME", "the engine's name", None),
     setting("address", "IP:PORT", "where it listens", None),
-    setting("slots", "COUNT", "jobs that it runs at a time", Some("8")),
-    setting("pieces", "COUNT", "pieces in an answer", Some("8")),
-    setting("piece-ms", "MS", "time between two pieces", Some("15")),
-    setting("prefill-ms", "MS", "what a cold prefix costs", Some("80")),
+    setting("slots", "COUNT", "requests that it runs at once", Some("8")),
+    setting("chunks", "COUNT", "chunks of a response", Some("8")),
+    setting("chunk-ms", "MS", "time between two chunks", Some("15")),
+    setting(
+        "prefill-ms",
+        "MS",
+        "time for a prompt whose prefix is not cached",
+        Some("80"),
+    ),
     setting("cold", "0|1", "whether it starts cold", Some("0")),
     setting(
         "journal",
         "FILE",
-        "where it writes down what it gets and runs",
+        "its journal of what it gets and runs",
         None,
     ),
 ];
 
+const RENAMED: &[RenamedOption] = &[
+    RenamedOption {
+        old: "pieces",
+        new: "chunks",
+    },
+    RenamedOption {
+        old: "piece-ms",
+        new: "chunk-ms",
+    },
+];
+
 fn main() {
+    renamed_options::refuse("engine", RENAMED);
     let mut reader = SettingsReader::read(
         "engine",
-        "A stand-in engine, for tests and trials.",
+        "A simulated engine, for tests and trials.",
         SETTINGS,
     );
     let settings = testbed::simulated_engine::Settings {
         name: reader.name("name"),
         address: reader.address("address"),
         slots: reader.count("slots", 1, 10_000) as u32,
-        pieces: reader.count("pieces", 1, 10_000) as u32,
-        piece_ms: reader.count("piece-ms", 0, 60_000),
+        chunks: reader.count("chunks", 1, 10_000) as u32,
+        chunk_ms: reader.count("chunk-ms", 0, 60_000),
         prefill_ms: reader.count("prefill-ms", 0, 60_000),
         is_cold: reader.count("cold", 0, 1) == 1,
         journal: reader.text("journal").into(),
--- a/testbed/src/child_process.rs
+++ b/testbed/src/child_process.rs
@@ -1,5 +1,5 @@
-//! Child processes that never lease_grace this process, however it ends: the kernel
-//! kills them (`PR_SET_PDEATHSIG`). The programs that are started need nothing for it.
+//! Child processes that never outlive this process, however it ends: the kernel kills them
+//! (`PR_SET_PDEATHSIG`). The programs that are started need nothing for it.
 
 use nix::errno::Errno;
 use nix::sys::prctl::set_pdeathsig;
@@ -17,6 +17,10 @@
 }
 
 /// Starts a process that is killed when this one ends.
+///
+/// # Errors
+///
+/// Where it can't be started.
 pub fn spawn(command: Command) -> io::Result<Child> {
     let (reply, result) = mpsc::channel();
     let gone = |_| io::Error::other("the thread that starts processes has ended");
--- a/testbed/src/journal.rs
+++ b/testbed/src/journal.rs
@@ -1,5 +1,5 @@
-//! What stand-ins write down: JSON lines with a time that all processes of one
-//! machine share, one file each, for the checker to compare.
+//! Journals of what simulated clients, engines and operators did and saw: JSON lines with
+//! times of one clock, one file each, for the checker.
 
 use parking_lot::Mutex;
 use simd_json::prelude::*;
@@ -9,9 +9,10 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
+/// A journal that is being written.
 pub struct Journal(Mutex<File>);
 
-/// Microseconds since 1970.
+/// The time in microseconds since 1970, which all processes of one machine share.
 pub fn wall_clock_us() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -19,6 +20,11 @@
 }
 
 impl Journal {
+    /// Opens a journal for appending, and makes its directory where it is missing.
+    ///
+    /// # Errors
+    ///
+    /// Where the file can't be opened.
     pub fn open(path: &Path) -> anyhow::Result<Journal> {
         if let Some(folder) = path.parent() {
             std::fs::create_dir_all(folder)?;
@@ -28,9 +34,13 @@
         )))
     }
 
-    /// Writes one line. Invariant: a line is whole or not there, since it goes
-    /// out in one write.
-    pub fn note(&self, mut value: OwnedValue) {
+    /// Appends one line, with the time where it has none. Invariant: a line is complete or
+    /// missing, since it is written by one call.
+    ///
+    /// # Panics
+    ///
+    /// Where the file can't be written: a run without its journal proves nothing.
+    pub fn append(&self, mut value: OwnedValue) {
         if value.get("at").is_none() {
             value
                 .insert("at", wall_clock_us())
@@ -44,8 +54,11 @@
     }
 }
 
-/// Reads a journal back. A bad line is said with its number; a last line that
-/// was torn off is left out, and that is said, too.
+/// Reads a journal back. A torn last line is left out with a warning.
+///
+/// # Errors
+///
+/// The first other line that is no JSON, with its number.
 pub fn read(path: &Path) -> anyhow::Result<Vec<OwnedValue>> {
     let text = String::from_utf8_lossy(&std::fs::read(path)?).into_owned();
     let mut lines = Vec::new();
@@ -54,7 +67,7 @@
             Ok(value) => lines.push(value),
             Err(_) if !line.ends_with('\n') => {
                 eprintln!(
-                    "{}: its last line is torn, it is judged up to it",
+                    "{}: the last line is torn, it is judged without that",
                     path.display()
                 );
             }
@@ -64,8 +77,12 @@
     Ok(lines)
 }
 
-/// Reads a process's log, its times turned into microseconds since 1970. What
-/// is no JSON line was said by a process that ended by itself.
+/// Reads a process's log, its times turned into microseconds since 1970. A line that is no
+/// JSON is kept only if it is a panic's message.
+///
+/// # Errors
+///
+/// Where the file can't be read, or a line is JSON and no object.
 pub fn read_log(name: &str, path: &Path) -> anyhow::Result<Vec<OwnedValue>> {
     let text = String::from_utf8_lossy(&std::fs::read(path)?).into_owned();
     let mut lines = Vec::new();
@@ -85,29 +102,3 @@
     }
     Ok(lines)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_torn_last_line_is_left_out_and_any_other_is_said() {
-        let path = std::env::temp_dir().join(format!("rushport-journal-{}", std::process::id()));
-        let cases: [(&str, Result<usize, &str>); 5] = [
-            ("", Ok(0)),
-            ("{\"a\":1}\n{\"a\":2}\n", Ok(2)),
-            ("{\"a\":1}\n{\"a\":2}", Ok(2)),
-            ("{\"a\":1}\n{\"a", Ok(1)),
-            ("{\"a\n{\"a\":2}\n", Err("line 1")),
-        ];
-        for (text, wanted) in cases {
-            std::fs::write(&path, text).expect("it is written");
-            match (read(&path), wanted) {
-                (Ok(lines), Ok(count)) => assert_eq!(lines.len(), count, "{text:?}"),
-                (Err(error), Err(place)) => assert!(error.to_string().contains(place), "{error}"),
-                (found, _) => panic!("{text:?}: {found:?}"),
-            }
-        }
-        drop(std::fs::remove_file(&path));
-    }
-}
--- a/testbed/src/plot.rs
+++ b/testbed/src/plot.rs
@@ -5,12 +5,14 @@
 
 /// One figure against what was varied.
 pub struct Panel {
+    /// What the figure is.
     pub title: String,
+    /// What was varied, and the figure.
     pub points: Vec<(f64, f64)>,
 }
 
-/// The line with the least squares: where it begins, and how steep it is.
-pub fn line(points: &[(f64, f64)]) -> (f64, f64) {
+/// The line of least squares: its value at zero, and its slope.
+pub fn least_squares(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len().max(1) as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
     let (x, y) = (mean(|point| point.0), mean(|point| point.1));
@@ -38,6 +40,7 @@
     }
 }
 
+/// A drawing of all panels, three in a row. `across` names what was varied.
 pub fn svg(title: &str, across: &str, panels: &[Panel]) -> String {
     let rows = panels.len().div_ceil(ACROSS);
     let (wide, high) = (WIDE * ACROSS as f64, HIGH * rows as f64 + 40.0);
@@ -59,7 +62,7 @@
             let up = top + HIGH - EDGE - (y / y_most).clamp(0.0, 1.0) * (HIGH - EDGE - 24.0);
             (along, up)
         };
-        let (begin, slope) = line(&panel.points);
+        let (begin, slope) = least_squares(&panel.points);
         let ((x0, y0), (x1, _)) = (place((0.0, 0.0)), place((x_most, 0.0)));
         let (_, y1) = place((0.0, y_most));
         let _ = writeln!(
--- a/testbed/src/random.rs
+++ b/testbed/src/random.rs
@@ -28,4 +28,18 @@
     pub fn fraction(&mut self) -> f64 {
         self.next_53_bits() as f64 / (1u64 << 53) as f64
     }
+
+    /// A number from `from` up to, but without, `to`, in a million steps.
+    pub fn between(&mut self, from: f64, to: f64) -> f64 {
+        from + (to - from) * self.below(1_000_000) as f64 / 1e6
+    }
+
+    /// One of some items.
+    ///
+    /// # Panics
+    ///
+    /// Where there are none.
+    pub fn pick<'l, T>(&mut self, of: &'l [T]) -> &'l T {
+        &of[self.below(of.len() as u64) as usize]
+    }
 }
--- a/testbed/src/relay.rs
+++ b/testbed/src/relay.rs
@@ -1,6 +1,6 @@
-//! A network that can be cut: relays between loopback addresses. Processes
-//! know each other by the relays' addresses, and dial from their own, so a
-//! relay knows both ends of every connection.
+//! A network that can be partitioned: relays between loopback addresses. Processes know
+//! each other by the relays' addresses, and connect from their own, so a relay knows both
+//! ends of every connection.
 
 use parking_lot::Mutex;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Invariant: what is sent from `a` to `b` waits while `(a, b)` is cut, as it
+/// All relays of a fleet. Invariant: what is sent from `a` to `b` waits while `(a, b)` is cut, as it
 /// would in a network that drops packets until it comes back.
 pub struct Network {
     cuts: watch::Sender<BTreeSet<(IpAddr, IpAddr)>>,
@@ -20,6 +20,7 @@
 }
 
 impl Network {
+    /// A network without relays.
     pub fn new() -> Arc<Network> {
         Arc::new(Network {
             cuts: watch::channel(BTreeSet::new()).0,
@@ -28,28 +29,34 @@
         })
     }
 
+    /// Cuts links, each from a sender to a receiver.
     pub fn cut(&self, pairs: impl IntoIterator<Item = (IpAddr, IpAddr)>) {
         self.cuts.send_modify(|cuts| cuts.extend(pairs));
     }
 
-    /// From now on a connection that is begun within a cut never comes about, as
-    /// where the first packet is lost; what is sent on it is lost. Otherwise it comes
-    /// about when the cut is over.
+    /// From now on a connection that is begun during a partition is never made, as where the
+    /// first packet is lost; what is sent on it is lost. Otherwise it is made when the
+    /// partition ends.
     pub fn drop_new_connections(&self) {
         self.drops_new.store(true, Ordering::Relaxed);
     }
 
+    /// Ends all partitions.
     pub fn heal(&self) {
         self.cuts.send_modify(|cuts| cuts.clear());
     }
 
-    /// Relays what comes to `known` on to `real`.
+    /// Relays connections to `advertised` to `real`.
+    ///
+    /// # Errors
+    ///
+    /// Where `advertised` is taken.
     pub async fn relay(
         self: &Arc<Network>,
-        known: SocketAddr,
+        advertised: SocketAddr,
         real: SocketAddr,
     ) -> std::io::Result<()> {
-        let listener = TcpListener::bind(known).await?;
+        let listener = TcpListener::bind(advertised).await?;
         let network = Arc::clone(self);
         let task = tokio::spawn(async move {
             while let Ok((stream, from)) = listener.accept().await {
@@ -69,9 +76,9 @@
             let cuts = self.cuts.borrow();
             cuts.contains(&(from, real.ip())) || cuts.contains(&(real.ip(), from))
         };
-        self.open(from, real.ip()).await;
+        self.wait_while_cut(from, real.ip()).await;
         if is_cut && self.drops_new.load(Ordering::Relaxed) {
-            self.open(real.ip(), from).await;
+            self.wait_while_cut(real.ip(), from).await;
             return Ok(());
         }
         let far = TcpStream::connect(real).await?;
@@ -79,13 +86,13 @@
         far.set_nodelay(true)?;
         let (mut near_in, mut near_out) = near.into_split();
         let (mut far_in, mut far_out) = far.into_split();
-        let out = self.carry(&mut near_in, &mut far_out, from, real.ip());
-        let back = self.carry(&mut far_in, &mut near_out, real.ip(), from);
-        tokio::try_join!(out, back).map(|_| ())
+        let outbound = self.copy(&mut near_in, &mut far_out, from, real.ip());
+        let inbound = self.copy(&mut far_in, &mut near_out, real.ip(), from);
+        tokio::try_join!(outbound, inbound).map(|_| ())
     }
 
-    /// Waits while a way is cut.
-    async fn open(&self, from: IpAddr, to: IpAddr) {
+    /// Waits while a link is cut.
+    async fn wait_while_cut(&self, from: IpAddr, to: IpAddr) {
         // The sender lives as long as the network itself.
         let _ = self
             .cuts
@@ -94,7 +101,7 @@
             .await;
     }
 
-    async fn carry(
+    async fn copy(
         &self,
         reader: &mut tokio::net::tcp::OwnedReadHalf,
         writer: &mut tokio::net::tcp::OwnedWriteHalf,
@@ -104,7 +111,7 @@
         let mut bytes = vec![0; 16 << 10];
         loop {
             let length = reader.read(&mut bytes).await?;
-            self.open(from, to).await;
+            self.wait_while_cut(from, to).await;
             match length {
                 0 => return writer.shutdown().await,
                 _ => writer.write_all(&bytes[..length]).await?,
--- a/testbed/src/simulated_engine.rs
+++ b/testbed/src/simulated_engine.rs
@@ -1,11 +1,11 @@
-//! A stand-in engine, or plain web service: it speaks the engines' published
-//! protocol, takes its time, and writes down every job it gets and runs.
+//! A simulated engine: it speaks the engines' published protocol, takes its time, and
+//! records every request that it gets and runs.
 //!
-//! An answer names the engine, the run and the digest of the body that it is
-//! an answer to, in numbered pieces, so that a caller can tell an answer that
-//! is whole and its own from any other.
+//! A response names the engine, the run and the digest of the request's body, in numbered
+//! chunks, so that a client can tell a complete response to its own request from any other.
 
 use crate::journal::Journal;
+use crate::workload::SHARED_PREFIX_BYTES;
 use bytes::Bytes;
 use dispatch::ChannelBody;
 use dropshot::Body;
@@ -22,20 +22,27 @@
 use transport::http_server::{self, Request, Response};
 use transport::rejection;
 
+/// How an engine behaves.
 pub struct Settings {
+    /// Its name in the journal and in responses.
     pub name: String,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Requests that it runs at once.
     pub slots: u32,
-    /// Pieces in an answer, and the time between two.
-    pub pieces: u32,
-    pub piece_ms: u64,
-    /// What a prompt costs whose prefix is not warm.
+    /// Chunks of a response.
+    pub chunks: u32,
+    /// The time between two chunks.
+    pub chunk_ms: u64,
+    /// The time for a prompt whose prefix is not cached.
     pub prefill_ms: u64,
+    /// It starts cold, and warms up by its first responses.
     pub is_cold: bool,
+    /// The file of its journal.
     pub journal: std::path::PathBuf,
 }
 
-/// Invariant: a run's number is its own, over the engine's life.
+/// Invariant: no two runs have one number, also over the engine's restarts.
 struct Engine {
     settings: Settings,
     journal: Journal,
@@ -49,8 +56,20 @@
     warm: Mutex<VecDeque<String>>,
 }
 
-const WARM_KEPT: usize = 64;
+/// Prefixes that an engine keeps in its cache.
+const CACHED_PREFIXES: usize = 64;
+/// Responses after which an engine is warm.
+const WARM_AFTER_RESPONSES: u32 = 24;
+/// What a warm start counts as.
+const RESPONSES_OF_WARM_START: u32 = 1000;
+const MAX_BODY_BYTES: usize = 64 << 20;
+const VITALS_PERIOD: Duration = Duration::from_millis(100);
 
+/// Serves an engine until the server is dropped.
+///
+/// # Errors
+///
+/// Where the journal can't be opened, or the address is taken.
 pub fn serve(settings: Settings) -> anyhow::Result<dropshot::HttpServer<http_server::Handler>> {
     let engine = Arc::new(Engine {
         journal: Journal::open(&settings.journal)?,
@@ -58,14 +77,17 @@
         waiting: AtomicU32::new(0),
         runs: AtomicU64::new(crate::journal::wall_clock_us()),
         began: std::time::Instant::now(),
-        served: AtomicU32::new(if settings.is_cold { 0 } else { 1000 }),
+        served: AtomicU32::new(match settings.is_cold {
+            true => 0,
+            false => RESPONSES_OF_WARM_START,
+        }),
         is_draining: AtomicBool::new(false),
         slots: Arc::new(Semaphore::new(settings.slots as usize)),
         warm: Mutex::default(),
         settings,
     });
     let address = engine.settings.address;
-    engine.journal.note(json!({
+    engine.journal.append(json!({
         "engine": engine.settings.name.clone(), "job": "", "event": "started",
         "cold": engine.settings.is_cold, "slots": engine.settings.slots, "run": 0,
     }));
@@ -74,11 +96,11 @@
         Box::pin(async move {
             match request.uri().path() {
                 "/vitals" => vitals(&engine),
-                _ => job(&engine, request).await,
+                _ => handle_request(&engine, request).await,
             }
         })
     });
-    http_server::serve(address, 64 << 20, handler)
+    http_server::serve(address, MAX_BODY_BYTES, handler)
 }
 
 fn vitals(engine: &Arc<Engine>) -> Response {
@@ -90,7 +112,7 @@
                 "running": engine.running.load(Ordering::Relaxed),
                 "queue": engine.waiting.load(Ordering::Relaxed),
                 "slots": engine.settings.slots,
-                "warm": engine.served.load(Ordering::Relaxed) >= 24,
+                "warm": engine.served.load(Ordering::Relaxed) >= WARM_AFTER_RESPONSES,
                 "draining": engine.is_draining.load(Ordering::Relaxed),
                 "completed": engine.served.load(Ordering::Relaxed),
                 "uptime_ms": engine.began.elapsed().as_millis() as u64,
@@ -102,13 +124,13 @@
             {
                 return;
             }
-            tokio::time::sleep(Duration::from_millis(100)).await;
+            tokio::time::sleep(VITALS_PERIOD).await;
         }
     });
     hyper::Response::new(Body::wrap(ChannelBody(receiver)))
 }
 
-/// Counts a job while it waits or runs, however it ends.
+/// Counts a request while it waits or runs, however it ends.
 struct Counted(Arc<Engine>, fn(&Engine) -> &AtomicU32);
 
 impl Counted {
@@ -124,15 +146,15 @@
     }
 }
 
-async fn job(engine: &Arc<Engine>, request: Request) -> Response {
+async fn handle_request(engine: &Arc<Engine>, request: Request) -> Response {
     let id = header(&request, rejection::REQUEST_ID_HEADER);
     let note = |event: &str, run: u64| {
-        engine.journal.note(json!({
+        engine.journal.append(json!({
             "engine": engine.settings.name.clone(), "job": id.clone(), "event": event, "run": run,
         }));
     };
     note("received", 0);
-    // It is always counted as one or the other, also while its body comes.
+    // It is always counted as waiting or running, also while its body arrives.
     let (slot, running) = {
         let _waiting = Counted::new(engine, |engine| &engine.waiting);
         let is_full = engine.waiting.load(Ordering::Relaxed) > engine.settings.slots * 2;
@@ -142,7 +164,7 @@
                 .status(503)
                 .header(dispatch::ENGINE_OUTCOME_HEADER, "not-run")
                 .body(Body::empty())
-                .expect("fixed headers make an answer");
+                .expect("fixed headers are valid");
         }
         let Ok(slot) = Arc::clone(&engine.slots).acquire_owned().await else {
             unreachable!("the slots are never closed")
@@ -154,11 +176,11 @@
         return hyper::Response::builder()
             .status(400)
             .body(Body::empty())
-            .expect("an answer");
+            .expect("a status is valid");
     };
     let body = body.to_bytes();
     let run = engine.runs.fetch_add(1, Ordering::Relaxed) + 1;
-    let is_warm = warm_up(engine, &body);
+    let is_warm = cache_prefix(engine, &body);
     note(if is_warm { "begun-warm" } else { "begun-cold" }, run);
     let sum = policy::sha256_hex(&String::from_utf8_lossy(&body));
     let (sender, receiver) = mpsc::channel(4);
@@ -167,12 +189,12 @@
     tokio::spawn(async move {
         let _slot = slot;
         let _running = running;
-        let event = match answer(&engine, &job, run, &sum, is_warm, &sender).await {
+        let event = match send_response(&engine, &job, run, &sum, is_warm, &sender).await {
             true => "ended",
             false => "cancelled",
         };
         engine.served.fetch_add(1, Ordering::Relaxed);
-        engine.journal.note(json!({
+        engine.journal.append(json!({
             "engine": engine.settings.name.clone(), "job": job, "event": event, "run": run,
         }));
     });
@@ -181,7 +203,7 @@
         .header("x-engine", settings_name)
         .header("x-prefix", if is_warm { "warm" } else { "cold" })
         .body(Body::wrap(ChannelBody(receiver)))
-        .expect("fixed headers make an answer")
+        .expect("fixed headers are valid")
 }
 
 fn header(request: &Request, name: &str) -> String {
@@ -193,11 +215,11 @@
         .into()
 }
 
-/// Whether the prompt's beginning was seen lately; from now on it was.
-fn warm_up(engine: &Engine, body: &[u8]) -> bool {
+/// Whether the prompt's prefix is cached; from now on it is.
+fn cache_prefix(engine: &Engine, body: &[u8]) -> bool {
     let prefix = match policy::find_field(body, &["prompt".into()], true) {
         policy::FieldSearch::Found { raw, .. } => {
-            String::from_utf8_lossy(&raw[..raw.len().min(256)]).into_owned()
+            String::from_utf8_lossy(&raw[..raw.len().min(SHARED_PREFIX_BYTES)]).into_owned()
         }
         _ => return true,
     };
@@ -207,14 +229,14 @@
         warm.remove(at);
     }
     warm.push_back(prefix);
-    if warm.len() > WARM_KEPT {
+    if warm.len() > CACHED_PREFIXES {
         warm.pop_front();
     }
     known.is_some()
 }
 
-/// Streams the answer. False: the caller went away.
-async fn answer(
+/// Streams the response. False: the client hung up.
+async fn send_response(
     engine: &Engine,
     job: &str,
     run: u64,
@@ -229,14 +251,14 @@
         settings.prefill_ms
     };
     let mut wait = prefill;
-    for piece in 0..settings.pieces {
+    for chunk in 0..settings.chunks {
         tokio::select! {
             () = tokio::time::sleep(Duration::from_millis(wait)) => {}
             () = sender.closed() => return false,
         }
-        wait = settings.piece_ms;
+        wait = settings.chunk_ms;
         let line = json!({
-            "piece": piece, "of": settings.pieces, "engine": settings.name.clone(), "run": run,
+            "piece": chunk, "of": settings.chunks, "engine": settings.name.clone(), "run": run,
             "job": job, "sum": sum,
         });
         if sender
--- a/testbed/tests/commands.rs
+++ b/testbed/tests/commands.rs
@@ -85,7 +85,14 @@
     let melting = file("melting.json", melting);
     let drawn = |seeds: &'static str| {
         vec![
-            "--shape", shape, "--folder", "y", "--print", "yes", "--seeds", seeds,
+            "--deployment",
+            shape,
+            "--output-dir",
+            "y",
+            "--print",
+            "yes",
+            "--seeds",
+            seeds,
         ]
     };
     let cases: Vec<(&str, Vec<&str>, i32, Vec<&str>)> = vec![
@@ -121,22 +128,36 @@
         ),
         (
             "scenarios",
-            vec!["--shape", shape, "--folder", "y", "--kinds", "storm,melted"],
+            vec![
+                "--deployment",
+                shape,
+                "--output-dir",
+                "y",
+                "--kinds",
+                "storm,melted",
+            ],
             2,
             vec!["melted is no kind of fault; there are killed, engine-killed"],
         ),
         (
             "scenarios",
-            vec!["--shape", shape, "--folder", "y", "--scenarios", &melting],
+            vec![
+                "--deployment",
+                shape,
+                "--output-dir",
+                "y",
+                "--scenarios",
+                &melting,
+            ],
             2,
             vec!["x: events: machine: melt is none of kill, start"],
         ),
         (
             "scenarios",
             vec![
-                "--shape",
+                "--deployment",
                 shape,
-                "--folder",
+                "--output-dir",
                 "y",
                 "--scenarios",
                 &melting,
@@ -148,7 +169,7 @@
         ),
         (
             "scenarios",
-            vec!["--shape", &broken, "--folder", "y"],
+            vec!["--deployment", &broken, "--output-dir", "y"],
             2,
             vec!["line 2, column"],
         ),
@@ -278,11 +299,16 @@
         ),
         (
             "replay",
-            vec!["--day", &day, "--shape", "x", "--folder", "y"],
+            vec!["--workload", &day, "--deployment", "x", "--output-dir", "y"],
             2,
             vec!["line 1: zone: a text", "line 2: column"],
         ),
-        ("day", vec!["--shape", &broken], 1, vec!["line 2, column"]),
+        (
+            "workload",
+            vec!["--deployment", &broken],
+            1,
+            vec!["line 2, column"],
+        ),
     ];
     for (name, args, code, wanted) in cases {
         let output = run(name, &args, "");
--- a/testbed/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -183,3 +183,9 @@
     .await
     .expect("the engine writes it down");
 }
+
+/// Sets the time between two chunks of an engine's responses, from its next start on.
+pub fn set_chunk_ms(fleet: &mut Fleet, name: &str, chunk_ms: u64) {
+    let process = fleet.processes.get_mut(name).expect("it is there");
+    process.engine.as_mut().expect("it is an engine").chunk_ms = chunk_ms;
+}
--- a/testbed/tests/failures.rs
+++ b/testbed/tests/failures.rs
@@ -149,8 +149,8 @@
     let (_folder, mut fleet) = up("broken-disk").await;
     let leader = fleet.leader().await.expect("somebody leads");
     let desk = fleet.get(&leader).operator_address();
-    let log = fleet.folder.join("data").join(&leader).join("log");
-    let aside = fleet.folder.join("aside");
+    let log = fleet.output_dir.join("data").join(&leader).join("log");
+    let aside = fleet.output_dir.join("aside");
     std::fs::rename(&log, &aside).expect("its log goes");
     let change = json!({ "do": "evacuate", "zone": "south-a", "id": "over-a-broken-disk" });
     let epoch = fleet
@@ -286,7 +286,7 @@
     // Slow engines in place of the quick ones.
     for name in ["engine-1", "engine-2"] {
         fleet.kill(name);
-        fleet.processes.get_mut(name).expect("there").args[4] = "300".into();
+        set_chunk_ms(&mut fleet, name, 300);
         fleet.start(name).expect("it starts");
     }
     served(door, ANA, "before").await;
--- a/testbed/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -185,7 +185,7 @@
     set(&mut fleet, "router-2", &["--head-ms", "50"]);
     set(&mut fleet, "router-3", &["--jobs", "1"]);
     for name in ["engine-1", "engine-2"] {
-        fleet.processes.get_mut(name).expect("it is there").args[4] = "120".into();
+        set_chunk_ms(&mut fleet, name, 120);
     }
     fleet.bootstrap().await.expect("the fleet comes up");
     let door = fleet.get("router-1").client_address();
--- a/testbed/tests/orphans.rs
+++ b/testbed/tests/orphans.rs
@@ -60,7 +60,7 @@
     let (read_end, write_end) = nix::unistd::pipe().expect("a pipe");
     let mut command = Command::new(program(name).expect("it is built"));
     command
-        .args(["--folder", &folder.display().to_string()])
+        .args(["--output-dir", &folder.display().to_string()])
         .args(args);
     let child = command
         .stdin(Stdio::null())
@@ -110,16 +110,16 @@
     std::fs::write(&small, SHAPE).expect("written");
     let small = small.display().to_string();
     let day = folder.0.join("day");
-    let made = Command::new(program("day").expect("it is built"))
-        .args(["--shape", TURNOS, "--seconds", "30"])
+    let made = Command::new(program("workload").expect("it is built"))
+        .args(["--deployment", TURNOS, "--seconds", "30"])
         .stdout(File::create(&day).expect("a file"))
         .status();
     assert!(made.expect("it runs").success());
     let day = day.display().to_string();
 
-    let fleet = ["--shape", &small];
-    let scenarios = ["--shape", TURNOS, "--seeds", "1-1"];
-    let replay = ["--shape", TURNOS, "--day", &day];
+    let fleet = ["--deployment", &small];
+    let scenarios = ["--deployment", TURNOS, "--seeds", "1-1"];
+    let replay = ["--deployment", TURNOS, "--workload", &day];
     let cases: [(&str, &[&str], TimedAction, Signal); 8] = [
         ("fleet", &fleet, TimedAction::Up, Signal::SIGTERM),
         ("fleet", &fleet, TimedAction::Up, Signal::SIGINT),
--- a/testbed/tests/partitions.rs
+++ b/testbed/tests/partitions.rs
@@ -14,7 +14,7 @@
 const BEN: &str = "ben-key-0002";
 
 async fn status(desk: SocketAddr) -> anyhow::Result<OwnedValue> {
-    operator_request(desk, "GET", "/status", &OwnedValue::null()).await
+    Ok(operator_request(desk, "GET", "/status", &OwnedValue::null()).await?)
 }
 
 /// A leader elsewhere than at the one that is cut off.
--- a/testbed/tests/recorded_workload.rs
+++ b/testbed/tests/recorded_workload.rs
@@ -6,7 +6,8 @@
 use common::*;
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
-use testbed::{replay, workload};
+use testbed::replay;
+use testbed::workload::{self, Generation};
 
 const MIX: &str = r#","mix":[
   {"per_second":30,"service":"writer","method":"POST","target":"/app/write","once":true,
@@ -30,15 +31,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_short_day_breaks_no_rule() {
     let (folder, mut fleet) = up("day").await;
-    let shape = SHAPE
+    let deployment = SHAPE
         .trim_end()
         .strip_suffix('}')
         .expect("an object")
         .to_string()
         + MIX;
-    let moments = workload::make(&shape, None, 8, 1.0, 11).expect("the mix reads");
+    let generation = Generation {
+        seconds: 8,
+        scale: 1.0,
+        seed: 11,
+    };
+    let actions = workload::generate(&deployment, None, &generation).expect("the mix reads");
     let ends = replay::Targets::of_fleet(&fleet);
-    replay::play(ends, Some(&mut fleet), moments, &folder.0)
+    replay::play(ends, Some(&mut fleet), actions, &folder.0)
         .await
         .expect("it is played");
     let (journals, findings) = replay::check_rules(&fleet, &folder.0).expect("the journals read");
