--- a/router/src/cache_tiers.rs
+++ b/router/src/cache_tiers.rs
@@ -1,4 +1,9 @@
-//! The two cached layers, and the lookups in flight.
+//! The cache tiers that this router holds, what events made invalid, and which
+//! lookups are in flight.
+//!
+//! Two tiers: the local one, and this router's part of the region's cache
+//! (`regional_cache.rs` finds the part that a key belongs to). Lookups of one key
+//! are coalesced: one request leads, the others wait for the mapping it publishes.
 
 use parking_lot::Mutex;
 use placement::{Cache, CacheEntry, CacheLookup};
@@ -8,89 +13,120 @@
 use tokio::sync::watch;
 use transport::now;
 
-/// What events made void, each with the epoch of the last time. A mapping that
+/// What events made invalid, each with the epoch of the last time. A mapping that
 /// was resolved before is not to be used or kept, whichever way it came.
-/// Invariant: no touch stands twice.
+/// Invariant: no scope occurs twice.
 #[derive(Default)]
 struct Invalidations(Vec<(InvalidationScope, u64)>);
 
-/// Invariants: neither layer holds a mapping that an applied event has made
-/// void; at most one permit per key is in `in_flight`.
+impl Invalidations {
+    fn covers(&self, mapping: &Mapping) -> bool {
+        self.0
+            .iter()
+            .any(|(scope, epoch)| mapping.epoch < *epoch && scope.covers(mapping))
+    }
+
+    fn record(&mut self, scope: &InvalidationScope, epoch: u64) {
+        self.0
+            .retain(|(known, _)| *scope != InvalidationScope::All && known != scope);
+        self.0.push((scope.clone(), epoch));
+    }
+}
+
+/// The receiving side of a lookup in flight: `None` until its leader publishes.
+pub type PublishedMapping = watch::Receiver<Option<Mapping>>;
+
+/// Invariants: neither tier holds a mapping that an applied event has made invalid;
+/// at most one permit per key is in flight.
 pub struct CacheTiers {
-    own: Mutex<Cache<Mapping>>,
-    share: Mutex<Cache<Mapping>>,
+    local: Mutex<Cache<Mapping>>,
+    regional: Mutex<Cache<Mapping>>,
     invalidations: Mutex<Invalidations>,
-    in_flight: Mutex<HashMap<String, watch::Receiver<Option<Mapping>>>>,
+    in_flight: Mutex<HashMap<String, PublishedMapping>>,
 }
 
-/// The right to ask for a key, held by one job; the others wait for what it
-/// brings.
+/// The right to look a key up at a directory node, held by one request. The others
+/// wait for what it publishes, or for its drop.
 pub struct LookupPermit {
     key: Arc<str>,
     sender: watch::Sender<Option<Mapping>>,
 }
 
 impl LookupPermit {
+    /// The key, as of [`residency::key`].
     pub fn key(&self) -> &str {
         &self.key
     }
 
+    /// Gives the mapping to those who wait.
     pub fn publish(&self, mapping: &Mapping) {
         self.sender.send_replace(Some(mapping.clone()));
     }
 }
 
+/// Who looks a key up.
+pub enum Lookup {
+    /// The caller does.
+    Lead(LookupPermit),
+    /// Another request does; its mapping comes here.
+    Join(PublishedMapping),
+}
+
+/// How many mappings each tier holds.
+pub struct CacheSizes {
+    /// In the local tier.
+    pub local: usize,
+    /// In this router's part of the region's cache.
+    pub regional: usize,
+}
+
 impl CacheTiers {
-    pub fn new(own: usize, share: usize) -> CacheTiers {
+    /// Empty tiers of so many mappings each.
+    pub fn new(local_entries: usize, regional_entries: usize) -> CacheTiers {
         CacheTiers {
-            own: Mutex::new(Cache::new(own)),
-            share: Mutex::new(Cache::new(share)),
+            local: Mutex::new(Cache::new(local_entries)),
+            regional: Mutex::new(Cache::new(regional_entries)),
             invalidations: Mutex::default(),
             in_flight: Mutex::default(),
         }
     }
 
-    pub fn is_void(&self, mapping: &Mapping) -> bool {
-        let invalidations = self.invalidations.lock();
-        invalidations
-            .0
-            .iter()
-            .any(|(touch, epoch)| mapping.epoch < *epoch && touch.covers(mapping))
+    /// Whether an applied event has made a mapping invalid since it was resolved.
+    pub fn is_invalidated(&self, mapping: &Mapping) -> bool {
+        self.invalidations.lock().covers(mapping)
     }
 
-    /// Drops what the events of an entry make void.
+    /// Drops what the events of an entry make invalid.
     pub fn invalidate(&self, epoch: u64, events: &[Event]) {
         for event in events {
-            let Event::Invalidated(touch) = event else {
+            let Event::Invalidated(scope) = event else {
                 continue;
             };
-            let mut invalidations = self.invalidations.lock();
-            invalidations
-                .0
-                .retain(|(known, _)| *touch != InvalidationScope::All && known != touch);
-            invalidations.0.push((touch.clone(), epoch));
-            drop(invalidations);
-            self.own.lock().remove_if(|mapping| touch.covers(mapping));
-            self.share.lock().remove_if(|mapping| touch.covers(mapping));
+            self.invalidations.lock().record(scope, epoch);
+            for tier in [&self.local, &self.regional] {
+                tier.lock().remove_if(|mapping| scope.covers(mapping));
+            }
         }
     }
 
-    /// A whole new picture: which mappings it makes void is not known.
+    /// Drops everything: after a snapshot it is not known which mappings changed.
     pub fn invalidate_all(&self, epoch: u64) {
         self.invalidate(epoch, &[Event::Invalidated(InvalidationScope::All)]);
     }
 
+    /// Looks a key up in the local tier.
     pub fn get_local(&self, key: &str) -> CacheLookup<Mapping> {
-        self.own.lock().get(key, now()).lookup
+        self.local.lock().get(key, now()).lookup
     }
 
-    /// This router's share of the region's layer; times are what is left.
+    /// Looks a key up in this router's part of the region's cache. The mapping's
+    /// times are what is left of them.
     pub fn get_regional(&self, key: &str) -> CacheLookup<Mapping> {
         let CacheEntry {
             lookup,
             fresh_ms,
             expire_ms,
-        } = self.share.lock().get(key, now());
+        } = self.regional.lock().get(key, now());
         let left = |mapping| Mapping {
             fresh_ms,
             expire_ms,
@@ -103,21 +139,24 @@
         }
     }
 
+    /// Inserts into the local tier, unless invalidated meanwhile.
     pub fn insert_local(&self, mapping: &Mapping) {
-        self.keep(&self.own, mapping);
+        self.insert(&self.local, mapping);
     }
 
+    /// Inserts into this router's part of the region's cache, unless invalidated
+    /// meanwhile.
     pub fn insert_regional(&self, mapping: &Mapping) {
-        self.keep(&self.share, mapping);
+        self.insert(&self.regional, mapping);
     }
 
-    fn keep(&self, layer: &Mutex<Cache<Mapping>>, mapping: &Mapping) {
-        let mut layer = layer.lock();
-        // Looked at under the layer's lock: an event that comes in later finds
-        // the mapping there and drops it.
-        if !self.is_void(mapping) {
+    fn insert(&self, tier: &Mutex<Cache<Mapping>>, mapping: &Mapping) {
+        let mut tier = tier.lock();
+        // Checked under the tier's lock: an event that is applied later finds the
+        // mapping there and drops it.
+        if !self.is_invalidated(mapping) {
             let (fresh_ms, expire_ms) = (mapping.fresh_ms, mapping.expire_ms);
-            layer.insert(
+            tier.insert(
                 &mapping.routing_key(),
                 mapping.clone(),
                 fresh_ms,
@@ -127,28 +166,29 @@
         }
     }
 
-    /// Leads the lookup of a key, or gets what another one's leader will publish.
-    pub fn join_or_lead(
-        &self,
-        key: &str,
-    ) -> Result<LookupPermit, watch::Receiver<Option<Mapping>>> {
+    /// Leads the lookup of a key, or joins the one that is in flight.
+    pub fn join_or_lead(&self, key: &str) -> Lookup {
         let mut in_flight = self.in_flight.lock();
         if let Some(receiver) = in_flight.get(key) {
-            // A sender that is gone brings nothing more.
+            // A permit that was dropped publishes nothing more.
             if receiver.has_changed().is_ok() {
-                return Err(receiver.clone());
+                return Lookup::Join(receiver.clone());
             }
         }
         let (sender, receiver) = watch::channel(None);
         in_flight.retain(|_, receiver| receiver.has_changed().is_ok());
         in_flight.insert(key.to_string(), receiver);
-        Ok(LookupPermit {
+        Lookup::Lead(LookupPermit {
             key: key.into(),
             sender,
         })
     }
 
-    pub fn sizes(&self) -> (usize, usize) {
-        (self.own.lock().len(), self.share.lock().len())
+    /// How many mappings each tier holds.
+    pub fn sizes(&self) -> CacheSizes {
+        CacheSizes {
+            local: self.local.lock().len(),
+            regional: self.regional.lock().len(),
+        }
     }
 }
--- /dev/null
+++ b/router/src/ingress/admit.rs
@@ -0,0 +1,83 @@
+//! Admission: whether this router takes a request now, and whether its tenant is
+//! within its quota.
+
+use super::body::IncomingBody;
+use super::Ingress;
+use crate::rejection::RouterRejection;
+use residency::View;
+use std::sync::atomic::Ordering;
+use tokio::time::Instant;
+use transport::rejection::Rejection;
+
+impl Ingress {
+    /// The longest body that is accepted, by the settings and the rules in force.
+    pub(super) fn body_limit_bytes(&self, view: &View) -> usize {
+        self.router
+            .settings
+            .body_limit_bytes
+            .min(usize::try_from(view.limits.max_body_bytes).unwrap_or(usize::MAX))
+    }
+
+    /// Takes the request if this router has a lease, accepts requests, and has
+    /// room for one more.
+    ///
+    /// # Errors
+    /// [`RouterRejection`]: `HttpVersion`, `BodyTooLong`, `Starting`, `LeaseEnded`,
+    /// `ShuttingDown`, `RouterFull`, or of the body's reading.
+    pub(super) async fn admit_by_capacity(
+        &self,
+        head: &http::request::Parts,
+        body: &mut IncomingBody,
+    ) -> Result<(), RouterRejection> {
+        let router = &self.router;
+        if head.version < http::Version::HTTP_11 {
+            return Err(RouterRejection::HttpVersion);
+        }
+        if let Err(too_long) = body.check_length() {
+            // No byte of the body has to arrive for that.
+            router.lease.check()?;
+            return Err(too_long);
+        }
+        if router.settings.buffered_body_bytes > 0 {
+            // A client that sends its whole request before it reads gets its rejection
+            // after that, not within it.
+            let until = Instant::now() + router.settings.body_head_timeout;
+            body.buffer(router.settings.buffered_body_bytes, until)
+                .await?;
+        }
+        router.lease.check()?;
+        if router.is_stopped.load(Ordering::Relaxed) {
+            return Err(RouterRejection::ShuttingDown);
+        }
+        // This request is among those in flight.
+        if router.in_flight.count() > router.settings.max_requests {
+            return Err(RouterRejection::RouterFull {
+                max_requests: router.settings.max_requests,
+            });
+        }
+        Ok(())
+    }
+
+    /// Takes the request if its tenant is within its quota, or will be in time.
+    ///
+    /// # Errors
+    /// Status 429, code `quota`: the tenant is past its rate; not run, come back
+    /// after a second. Status 503, code `no-leader`: no directory node grants quota
+    /// now. Both are built in `dispatch::quota`.
+    pub(super) async fn admit_by_quota(&self, view: &View, tenant: &str) -> Result<(), Rejection> {
+        let router = &self.router;
+        let rate_and_burst = view
+            .tenants
+            .get(tenant)
+            .map_or((0, 0), |limits| (limits.requests_per_s, limits.burst));
+        let routers = match view.router_count as usize {
+            0 => 0,
+            known => known.max(router.membership.read().router_count()),
+        };
+        let admitted = router
+            .quota
+            .admit(tenant, rate_and_burst, routers, router.settings.quota_wait)
+            .await;
+        admitted.inspect_err(|_| router.metrics.increment("refused-quota"))
+    }
+}
--- /dev/null
+++ b/router/src/ingress/mod.rs
@@ -0,0 +1,156 @@
+//! The ingress: a client's request from its head to its response.
+//!
+//! Each phase is a method of [`Ingress`] in a file of its own, in this order:
+//!
+//! | phase | file | refuses |
+//! |---|---|---|
+//! | admit (capacity) | `admit.rs` | no lease, shutting down, too many requests, body too long |
+//! | identify | `identify.rs` | no route, no tenant key, no model, body too slow |
+//! | authorize | `authorize.rs` | unknown tenant key, request id in use |
+//! | admit (quota) | `admit.rs` | tenant past its quota: 429 `quota` |
+//! | look up | `lookup.rs` | no mapping, no directory node |
+//! | dispatch | `dispatch.rs` | no home region, no engine, engine lost |
+//! | respond | `respond.rs` | |
+
+mod admit;
+mod authorize;
+mod body;
+mod dispatch;
+mod identify;
+mod lookup;
+mod respond;
+
+use crate::extensions::{ClientAdapter, RetryPolicy};
+use crate::in_flight::InFlightGuard;
+use crate::router::Router;
+use authorize::{RequestClaim, RequestClaims};
+use body::IncomingBody;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::time::Instant;
+use transport::http_listener::{self, HttpListener};
+use transport::http_server::{self, Request, Response};
+use transport::now;
+use transport::rejection::Rejection;
+
+/// A router that starts accepts connections with its first lease, and without one
+/// after this: a client that comes a moment too early waits instead of failing.
+const FIRST_LEASE_WAIT: Duration = Duration::from_millis(800);
+/// How often the first lease is looked for.
+const FIRST_LEASE_POLL: Duration = Duration::from_millis(20);
+
+/// The ids of requests that are taken as clients give them have this many
+/// characters at the most, since they go to the log.
+const MAX_REQUEST_ID_CHARS: usize = 64;
+
+/// The ingress of one router.
+pub struct Ingress {
+    router: Arc<Router>,
+    clients: ClientAdapter,
+    retries: RetryPolicy,
+    claims: Arc<RequestClaims>,
+}
+
+/// What a request holds until the last byte of its response is out.
+struct RequestGuard {
+    _in_flight: InFlightGuard,
+    /// Set when the request is authorized.
+    claim: Option<RequestClaim>,
+}
+
+impl Ingress {
+    /// The ingress of this router, for clients of this kind.
+    pub fn new(router: Arc<Router>, clients: ClientAdapter, retries: RetryPolicy) -> Ingress {
+        Ingress {
+            router,
+            clients,
+            retries,
+            claims: Arc::default(),
+        }
+    }
+
+    /// Serves a listener until the returned handle is shut.
+    pub fn serve(self: Arc<Ingress>, listener: TcpListener) -> Arc<HttpListener> {
+        let view = self.router.view.subscribe();
+        let opened = {
+            let router = Arc::clone(&self.router);
+            Box::pin(async move { wait_for_first_lease(&router).await })
+        };
+        let handler: http_server::Handler = Arc::new(move |request| {
+            let ingress = Arc::clone(&self);
+            Box::pin(async move { ingress.handle(request).await })
+        });
+        http_listener::serve(
+            listener,
+            Box::new(move || view.borrow().limits),
+            handler,
+            opened,
+        )
+    }
+
+    async fn handle(&self, request: Request) -> Response {
+        if let Some(page) = (self.clients.other_pages)(&self.router, &request) {
+            return page;
+        }
+        let id = self.request_id(&request);
+        self.router.metrics.increment("jobs");
+        let mut guard = RequestGuard {
+            _in_flight: self.router.in_flight.begin(),
+            claim: None,
+        };
+        match self.process(request, &id, &mut guard).await {
+            Ok(response) => self.respond(response, &id, guard),
+            Err(rejection) => self.refuse(&rejection, &id),
+        }
+    }
+
+    /// The phases of a request, from its head to the head of its response.
+    async fn process(
+        &self,
+        request: Request,
+        id: &str,
+        guard: &mut RequestGuard,
+    ) -> Result<Response, Rejection> {
+        let arrived_ms = now();
+        let (head, body) = request.into_parts();
+        let view = self.router.view.borrow().clone();
+        let mut body = IncomingBody::new(body, self.body_limit_bytes(&view));
+        self.admit_by_capacity(&head, &mut body).await?;
+        let mut identified = self
+            .identify(&view, &head, &mut body, id, arrived_ms)
+            .await?;
+        guard.claim = self.claim_id(&identified, id)?;
+        let is_past_key_cap = body.is_past_key_cap();
+        let mut body = body.into_outgoing();
+        let outgoing = identified.outgoing(&head, id);
+        let Some(routing_key) = identified.routing_key(is_past_key_cap)? else {
+            let tenant = identified.tenant();
+            return self
+                .forward_without_key(identified.state, &outgoing, &mut body, tenant)
+                .await;
+        };
+        self.admit_by_quota(&view, &routing_key.tenant).await?;
+        log::info!(job = id; "admitted");
+        self.look_up_and_dispatch(identified.state, &outgoing, body, &routing_key)
+            .await
+    }
+
+    /// The client's own id for its request, where it is fit for logs, or a random
+    /// one.
+    fn request_id(&self, request: &Request) -> String {
+        let is_fit = |id: &String| {
+            (1..=MAX_REQUEST_ID_CHARS).contains(&id.len())
+                && id.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
+        };
+        let given = (self.clients.request_id)(request.headers()).filter(is_fit);
+        given.unwrap_or_else(|| format!("{:016x}", rand::random::<u64>()))
+    }
+}
+
+async fn wait_for_first_lease(router: &Router) {
+    let until = Instant::now() + FIRST_LEASE_WAIT;
+    while router.lease.check().is_err() && Instant::now() < until {
+        tokio::time::sleep(FIRST_LEASE_POLL).await;
+    }
+}
--- a/router/src/load_gossip.rs
+++ b/router/src/load_gossip.rs
@@ -1,146 +1,133 @@
-//! What routers tell each other of engines that say nothing of themselves: their
-//! jobs there, the tokens being read, and which shared parts of prompts are kept
-//! where. Soft: lost on restart, believed for a moment only.
+//! Load gossip between routers, for engines that report no load of their own: the
+//! requests that each router has there, the tokens in prefill, and which shared
+//! prompt prefixes are cached where. Soft state: lost on restart, and believed for a
+//! moment only.
 //!
-//! Within a region everybody tells everybody, in batches that grow with their
-//! number. To each other region one router is told, which passes it on there.
+//! Within a region every router sends to every other, in batches that grow with
+//! their number. In each other region one router receives it, and relays it there.
 
-use crate::{membership, Router};
+use crate::router::Router;
 use placement::LoadUpdate;
-use protocol::{CachedPrefix, EngineLoad, Frame, RouterStatus};
+use protocol::{Frame, RouterStatus};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long news wait for more of them, for each neighbour that is told.
+/// How long changes wait for more of them, for each receiving router.
 const BATCH_MS: u64 = 4;
-/// News for other regions wait at least this long.
-const FAR_BATCH_MS: u64 = 120;
-/// Told again where nothing changed, so that it is believed on.
-const AGAIN_MS: u64 = 600;
+/// Changes for other regions wait at least this long.
+const REMOTE_BATCH_MS: u64 = 120;
+/// Sent again where nothing changed, so that it is not forgotten.
+const REFRESH_MS: u64 = 600;
 
-fn frame(from: &str, is_relayed: bool, news: &LoadUpdate) -> Frame {
+fn frame(from: &str, is_relayed: bool, update: &LoadUpdate) -> Frame {
     Frame::LoadGossip {
         from: from.into(),
         is_relayed,
-        loads: news.loads.clone(),
-        cached_prefixes: news.cached_prefixes.clone(),
+        loads: update.loads.clone(),
+        cached_prefixes: update.cached_prefixes.clone(),
     }
 }
 
 /// The other routers of this region.
-fn near(router: &Router) -> Vec<SocketAddr> {
-    let is_near = |front: &&RouterStatus| {
-        front.region == router.settings.region && front.name != router.settings.name
-    };
+fn regional_receivers(router: &Router) -> Vec<SocketAddr> {
     let membership = router.membership.read();
     membership
-        .fronts()
-        .filter(is_near)
-        .filter_map(|f| f.peer_address.parse().ok())
+        .regional_peers()
+        .filter_map(|peer| peer.peer_address.parse().ok())
         .collect()
 }
 
-/// One router of each other region, by rank for this one.
-fn far(router: &Router) -> Vec<SocketAddr> {
+/// One router of each other region, by rendezvous hashing of this one's name.
+fn remote_receivers(router: &Router) -> Vec<SocketAddr> {
     let own = policy::stable_hash(router.settings.name.as_bytes());
     let membership = router.membership.read();
-    let mut regions: HashMap<&str, (u64, &RouterStatus)> = HashMap::new();
-    for front in membership
-        .fronts()
-        .filter(|f| f.region != router.settings.region)
-    {
-        let rank = placement::rank(own, policy::stable_hash(front.name.as_bytes()));
-        let best = regions.entry(&front.region).or_insert((rank, front));
+    let mut best_by_region: HashMap<&str, (u64, &RouterStatus)> = HashMap::new();
+    for peer in membership.remote_routers() {
+        let rank = placement::rank(own, policy::stable_hash(peer.name.as_bytes()));
+        let best = best_by_region.entry(&peer.region).or_insert((rank, peer));
         if rank > best.0 {
-            *best = (rank, front);
+            *best = (rank, peer);
         }
     }
-    regions
+    best_by_region
         .values()
-        .filter_map(|(_, front)| front.peer_address.parse().ok())
+        .filter_map(|(_, peer)| peer.peer_address.parse().ok())
         .collect()
 }
 
-fn tell(router: &Arc<Router>, to: &[SocketAddr], frame: &Frame) {
-    for address in to {
-        membership::tell(router, *address, frame.clone());
+fn send(router: &Router, receivers: &[SocketAddr], frame: &Frame) {
+    for receiver in receivers {
+        router.peer_links.send(*receiver, frame.clone());
     }
 }
 
-/// Takes what another router tells, and passes it on where it came from another
+/// Takes in what another router sent, and relays it where that one is of another
 /// region.
-pub fn take(
-    router: &Arc<Router>,
-    from: &str,
-    is_relayed: bool,
-    loads: Vec<EngineLoad>,
-    kept: Vec<CachedPrefix>,
-) {
-    let news = LoadUpdate {
-        loads,
-        cached_prefixes: kept,
-    };
+pub fn receive(router: &Router, from: &str, is_relayed: bool, update: &LoadUpdate) {
     router
         .dispatcher
         .engine_tracker
-        .apply_load_update(from, &news);
-    let is_far = {
-        let membership = router.membership.read();
-        let region = membership
-            .fronts()
-            .find(|front| front.name == from)
-            .map(|f| &f.region);
-        region.is_some_and(|region| *region != router.settings.region)
-    };
-    if is_far && !is_relayed {
-        tell(router, &near(router), &frame(from, true, &news));
+        .apply_load_update(from, update);
+    let is_remote = router
+        .membership
+        .read()
+        .remote_routers()
+        .any(|peer| peer.name == from);
+    if is_remote && !is_relayed {
+        send(
+            router,
+            &regional_receivers(router),
+            &frame(from, true, update),
+        );
     }
 }
 
-/// The loop: news as they come, in batches.
+/// Sends this router's changes in batches, for the life of the process.
 pub async fn run(router: Arc<Router>) {
-    let mut for_far = LoadUpdate::default();
-    let mut told_far = transport::now();
+    let name = router.settings.name.as_str();
+    let mut remote_update = LoadUpdate::default();
+    let mut remote_sent_ms = transport::now();
     loop {
-        let again = Duration::from_millis(AGAIN_MS);
+        let refresh = Duration::from_millis(REFRESH_MS);
         drop(
             tokio::time::timeout(
-                again,
+                refresh,
                 router.dispatcher.engine_tracker.load_changed().notified(),
             )
             .await,
         );
-        let neighbours = near(&router);
-        let batch = BATCH_MS * (neighbours.len() as u64 + 1);
-        tokio::time::sleep(Duration::from_millis(batch)).await;
-        let news = router.dispatcher.engine_tracker.take_load_update();
-        if !news.is_empty() {
-            tell(
-                &router,
-                &neighbours,
-                &frame(&router.settings.name, false, &news),
-            );
-        }
-        for load in news.loads {
-            match for_far
-                .loads
-                .iter_mut()
-                .find(|known| known.engine == load.engine)
-            {
-                Some(known) => *known = load,
-                None => for_far.loads.push(load),
-            }
+        let receivers = regional_receivers(&router);
+        let batch_ms = BATCH_MS * (receivers.len() as u64 + 1);
+        tokio::time::sleep(Duration::from_millis(batch_ms)).await;
+        let update = router.dispatcher.engine_tracker.take_load_update();
+        if !update.is_empty() {
+            send(&router, &receivers, &frame(name, false, &update));
         }
-        for_far.cached_prefixes.extend(news.cached_prefixes);
-        if !for_far.is_empty() && transport::now() >= told_far + FAR_BATCH_MS {
-            tell(
+        merge(&mut remote_update, update);
+        if !remote_update.is_empty() && transport::now() >= remote_sent_ms + REMOTE_BATCH_MS {
+            send(
                 &router,
-                &far(&router),
-                &frame(&router.settings.name, false, &for_far),
+                &remote_receivers(&router),
+                &frame(name, false, &remote_update),
             );
-            (for_far, told_far) = (LoadUpdate::default(), transport::now());
+            (remote_update, remote_sent_ms) = (LoadUpdate::default(), transport::now());
+        }
+    }
+}
+
+/// Adds newer changes; of an engine's load the latest one counts.
+fn merge(older: &mut LoadUpdate, newer: LoadUpdate) {
+    for load in newer.loads {
+        match older
+            .loads
+            .iter_mut()
+            .find(|known| known.engine == load.engine)
+        {
+            Some(known) => *known = load,
+            None => older.loads.push(load),
         }
     }
+    older.cached_prefixes.extend(newer.cached_prefixes);
 }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -109,7 +109,7 @@
         quota_wait: Duration::from_millis(reader.count("quota-ms", 0, 60_000)),
         max_requests: reader.count("jobs", 1, 1 << 20) as usize,
         seeds: reader.addresses("seeds"),
-        max_body_bytes: reader.count("body", 1 << 10, 1 << 30) as usize,
+        body_limit_bytes: reader.count("body", 1 << 10, 1 << 30) as usize,
         operator_address: reader.address("desk"),
         local_cache_entries: reader.count("own-cache", 1, 1 << 20) as usize,
         regional_cache_entries: reader.count("share", 1, 1 << 24) as usize,
--- /dev/null
+++ b/router/src/operator_api.rs
@@ -0,0 +1,61 @@
+//! The pages for operators: health, counters, traffic.
+
+use crate::router::Router;
+use std::net::SocketAddr;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use transport::{http_server, now};
+
+/// Requests of operators have no bodies; this is the cap.
+const BODY_CAP_BYTES: usize = 1 << 16;
+
+/// Serves the pages until the server is closed.
+///
+/// # Errors
+/// The address can't be listened at.
+pub fn serve(
+    router: Arc<Router>,
+    address: SocketAddr,
+) -> anyhow::Result<dropshot::HttpServer<http_server::Handler>> {
+    let handler: http_server::Handler = Arc::new(move |request| {
+        let response = respond(&router, &request);
+        Box::pin(async move { response })
+    });
+    http_server::serve(address, BODY_CAP_BYTES, handler)
+}
+
+fn respond(router: &Router, request: &http_server::Request) -> http_server::Response {
+    match (request.method().as_str(), request.uri().path()) {
+        ("GET", "/vitals") => health(router),
+        ("GET", "/counters") => http_server::json(200, &router.metrics.to_json()),
+        ("GET", "/traffic") => http_server::json(200, &telemetry::traffic::to_json()),
+        (_, path) => {
+            let text = format!("there is no {path} for this method");
+            http_server::json(
+                404,
+                &simd_json::json!({ "code": "no-such-page", "text": text }),
+            )
+        }
+    }
+}
+
+/// 200 while the lease is valid, else 503, with the same fields.
+fn health(router: &Router) -> http_server::Response {
+    let view = router.view.borrow().clone();
+    let is_well = router.lease.check().is_ok();
+    let sizes = router.cache_tiers.sizes();
+    let value = simd_json::json!({
+        "name": router.settings.name.clone(),
+        "well": is_well,
+        "lease_ms": router.lease.until_ms().saturating_sub(now()),
+        "epoch": view.epoch,
+        "leaving": router.is_draining.load(Ordering::Relaxed),
+        "under_way": router.in_flight.count(),
+        "session": router.pending_lookups.node().map(|node| node.to_string()),
+        "neighbours": router.membership.read().cache_peers().count(),
+        "cached": sizes.local,
+        "cached_share": sizes.regional,
+        "engines": router.dispatcher.engine_tracker.to_json(view.program.set_points.target_utilization),
+    });
+    http_server::json(if is_well { 200 } else { 503 }, &value)
+}
--- /dev/null
+++ b/router/src/router.rs
@@ -0,0 +1,46 @@
+//! The state that all parts of a router share.
+
+use crate::cache_tiers::CacheTiers;
+use crate::in_flight::InFlight;
+use crate::lease::Lease;
+use crate::membership::Membership;
+use crate::peer_links::PeerLinks;
+use crate::pending_lookups::PendingLookups;
+use crate::settings::Settings;
+use dispatch::quota::QuotaLimiter;
+use dispatch::Dispatcher;
+use parking_lot::RwLock;
+use residency::View;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use telemetry::metrics::Metrics;
+use tokio::sync::watch;
+
+/// A running router. Invariant: the view's epoch only rises.
+pub struct Router {
+    pub(crate) settings: Settings,
+    /// The replicated state as this router holds it; set by the session alone.
+    pub(crate) view: watch::Sender<Arc<View>>,
+    pub(crate) lease: Lease,
+    /// It drains: it still accepts requests, and tells others that it leaves.
+    pub(crate) is_draining: AtomicBool,
+    /// It accepts no new requests.
+    pub(crate) is_stopped: AtomicBool,
+    pub(crate) membership: Arc<RwLock<Membership>>,
+    pub(crate) peer_links: PeerLinks,
+    pub(crate) cache_tiers: CacheTiers,
+    pub(crate) pending_lookups: PendingLookups,
+    pub(crate) quota: QuotaLimiter,
+    pub(crate) dispatcher: Dispatcher,
+    pub(crate) metrics: Arc<Metrics>,
+    pub(crate) in_flight: InFlight,
+}
+
+impl Router {
+    /// Whether clients are to be sent here.
+    pub fn is_ready(&self) -> bool {
+        self.view.borrow().epoch > 0
+            && !self.is_draining.load(Ordering::Relaxed)
+            && self.lease.check().is_ok()
+    }
+}
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -1,190 +1,113 @@
-//! The session with a directory node: heartbeats up; pictures, changes, leases
-//! and company down; and the key-only questions.
+//! The session with a directory node: heartbeats with quota demands go up;
+//! snapshots, changes, leases, membership updates and resolved keys come down.
+//!
+//! One session at a time, with the nearest node that serves. A node that renews no
+//! lease for [`LEASE_TIMEOUT_MS`] is left for the next one.
 
-use crate::Router;
-use parking_lot::Mutex;
+use crate::conversation_error::ConversationError;
+use crate::router::Router;
 use placement::{ReplicaUpdate, ReplicaView};
-use protocol::{ConnectionKind, Frame, LookupResponse, RouterStatus};
-use std::collections::HashMap;
+use protocol::{ConnectionKind, Frame, RouterStatus};
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::{mpsc, oneshot};
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::sync::mpsc;
+use transport::AbortOnDrop;
 use transport::{link, now};
 
-/// Beats out of turn keep at least this distance.
-const URGENT_MS: u64 = 50;
+/// Heartbeats out of turn keep at least this distance.
+const MIN_HEARTBEAT_DISTANCE_MS: u64 = 50;
 /// Without a lease from a node for this long, the next one is tried.
-const PATIENCE_MS: u64 = 900;
+const LEASE_TIMEOUT_MS: u64 = 900;
+/// Outgoing lookups that wait for the connection; more are refused.
+const OUTGOING_FRAMES: usize = 256;
+/// Frames that were read and wait to be applied.
+const INCOMING_FRAMES: usize = 64;
+/// The mean pause between two rounds over all nodes.
+const RECONNECT_PAUSE_MS: u64 = 100;
 
-/// A question under way: the key that it is about, and who waits for the answer.
-struct PendingLookup {
-    key: String,
-    waiter: oneshot::Sender<LookupResponse>,
-}
-
-/// Lookups under way, and the way out while there is a session. Invariant: a
-/// number is used once in the life of this process, and an answer is handed on only
-/// while its question waits, and only if it is about that question's key.
+/// What outlives a single session.
 #[derive(Default)]
-pub struct PendingLookups {
-    open: Mutex<HashMap<u64, PendingLookup>>,
-    out: Mutex<Option<(SocketAddr, mpsc::Sender<Frame>)>>,
-    next: AtomicU64,
+struct SessionState {
+    replica: ReplicaView,
+    /// The number of the latest heartbeat, over all sessions.
+    last_heartbeat: u64,
 }
 
-impl PendingLookups {
-    /// The directory node of the session.
-    pub fn node(&self) -> Option<String> {
-        self.out
-            .lock()
-            .as_ref()
-            .map(|(address, _)| address.to_string())
-    }
-
-    /// Asks for a key's mapping, by the key alone.
-    pub async fn resolve(
-        &self,
-        tenant: &str,
-        service: &str,
-        region: &str,
-        patience: Duration,
-    ) -> LookupResponse {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let (waiter, receiver) = oneshot::channel();
-        let out = self.out.lock().as_ref().map(|(_, out)| out.clone());
-        let Some(out) = out else {
-            return LookupResponse::Unavailable;
-        };
-        let key = residency::routing_key(tenant, service);
-        self.open
-            .lock()
-            .insert(number, PendingLookup { key, waiter });
-        let frame = Frame::LookupRequest {
-            request_id: number,
-            tenant: tenant.into(),
-            service: service.into(),
-            region: region.into(),
-        };
-        if out.try_send(frame).is_err() {
-            self.open.lock().remove(&number);
-            return LookupResponse::Unavailable;
-        }
-        let answer = tokio::time::timeout(patience, receiver).await;
-        self.open.lock().remove(&number);
-        answer
-            .ok()
-            .and_then(|answer| answer.ok())
-            .unwrap_or(LookupResponse::Unavailable)
-    }
-
-    /// Hands an answer to whoever waits for it. One that is late or surplus is passed
-    /// over.
-    ///
-    /// # Errors
-    /// The answer is about another key than its question: the node can't be relied on.
-    fn complete(&self, number: u64, answer: LookupResponse) -> anyhow::Result<()> {
-        let Some(question) = self.open.lock().remove(&number) else {
-            return Ok(());
-        };
-        if let LookupResponse::Found(mapping) = &answer {
-            anyhow::ensure!(
-                mapping.routing_key() == question.key,
-                "it answers for another key"
-            );
+/// Holds a session for the life of the process, with one node after another.
+pub async fn run(router: Arc<Router>) {
+    let mut state = SessionState::default();
+    loop {
+        for node in candidates(&router) {
+            let lease_before_ms = router.lease.until_ms();
+            if let Err(error) = follow(&router, &mut state, node).await {
+                log::info!(directory = node.to_string(); "the session ended: {error}");
+            }
+            router.pending_lookups.disconnect();
+            // A session that served begins the search anew, the nearest first.
+            if router.lease.until_ms() > lease_before_ms {
+                break;
+            }
         }
-        // Whoever asked may have left meanwhile.
-        drop(question.waiter.send(answer));
-        Ok(())
+        tokio::time::sleep(transport::jitter(RECONNECT_PAUSE_MS)).await;
     }
 }
 
-/// Where to find a directory node, the nearest first.
-fn ways(router: &Router) -> Vec<SocketAddr> {
+/// Directory nodes to try, the nearest first, and the seeds of the settings last.
+fn candidates(router: &Router) -> Vec<SocketAddr> {
     let membership = router.membership.read();
-    let mut ways: Vec<(u8, u32, SocketAddr)> = membership
+    let mut ranked: Vec<(u8, u32, SocketAddr)> = membership
         .directories()
         .iter()
         .filter_map(|member| {
-            let far = match () {
+            let distance = match () {
                 _ if member.zone == router.settings.zone => 0,
                 _ if member.region == router.settings.region => 1,
                 _ => 2,
             };
-            Some((far, rand::random(), member.address.parse().ok()?))
+            Some((distance, rand::random(), member.address.parse().ok()?))
         })
         .collect();
-    ways.extend(
+    ranked.extend(
         router
             .settings
             .seeds
             .iter()
             .map(|seed| (3, rand::random(), *seed)),
     );
-    ways.sort();
-    let mut ways: Vec<SocketAddr> = ways.into_iter().map(|(_, _, address)| address).collect();
-    let mut seen = Vec::new();
-    ways.retain(|way| {
-        !seen.contains(way) && {
-            seen.push(*way);
-            true
-        }
-    });
-    ways
-}
-
-pub async fn run(router: Arc<Router>) {
-    let mut replica_view = ReplicaView::default();
-    loop {
-        for way in ways(&router) {
-            let had_lease = router.lease.load(Ordering::Relaxed);
-            if let Err(error) = hold(&router, &mut replica_view, way).await {
-                log::info!("session with {way} ended: {error:#}");
-            }
-            *router.pending_lookups.out.lock() = None;
-            router.pending_lookups.open.lock().clear();
-            // A session that served begins the search anew, the nearest first.
-            if router.lease.load(Ordering::Relaxed) > had_lease {
-                break;
-            }
+    ranked.sort();
+    let mut candidates: Vec<SocketAddr> = Vec::new();
+    for (_, _, address) in ranked {
+        if !candidates.contains(&address) {
+            candidates.push(address);
         }
-        tokio::time::sleep(transport::jitter(100)).await;
     }
+    candidates
 }
 
-/// The next beat: in its time, or at once where a job waits for a share.
-async fn tick(beat: &mut tokio::time::Interval, router: &Router, last: u64) {
-    let urgent = async {
-        router.quota.urgent.notified().await;
-        let soonest = (last + URGENT_MS).saturating_sub(now());
-        tokio::time::sleep(Duration::from_millis(soonest)).await;
-    };
-    tokio::select! {
-        _ = beat.tick() => {}
-        () = urgent => beat.reset(),
-    }
-}
-
-async fn hold(
+/// Follows one node until its connection ends or it can't be relied on.
+async fn follow(
     router: &Arc<Router>,
-    replica_view: &mut ReplicaView,
-    way: SocketAddr,
-) -> anyhow::Result<()> {
-    let boot = &router.settings;
-    replica_view.begin_session();
+    state: &mut SessionState,
+    node: SocketAddr,
+) -> Result<(), ConversationError> {
+    let settings = &router.settings;
+    state.replica.begin_session();
     let stream = link::dial(
-        boot.peer_listen_address,
-        way,
+        settings.peer_listen_address,
+        node,
         ConnectionKind::RouterSession,
-        &boot.name,
+        &settings.name,
     )
     .await?;
     let (mut reader, mut writer) = stream.into_split();
-    let (out, mut queue) = mpsc::channel(256);
-    *router.pending_lookups.out.lock() = Some((way, out));
+    let (queue, mut outgoing) = mpsc::channel(OUTGOING_FRAMES);
+    router.pending_lookups.connect(node, queue);
     router.metrics.increment("sessions");
-    let (frames, mut incoming) = mpsc::channel(64);
+    // A task of its own reads, since a read that is given up midway loses a frame.
+    let (frames, mut incoming) = mpsc::channel(INCOMING_FRAMES);
     let reading = tokio::spawn(async move {
         loop {
             let frame = link::receive(&mut reader, protocol::MAX_FRAME_BYTES).await;
@@ -194,87 +117,123 @@
             }
         }
     });
-    let _reading = transport::AbortOnDrop(reading.abort_handle());
-    let mut beat = tokio::time::interval(Duration::from_millis(boot.heartbeat_interval_ms));
-    beat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut lease_valid = now();
-    let mut last = 0;
+    let _reading = AbortOnDrop(reading.abort_handle());
+    let mut interval = tokio::time::interval(Duration::from_millis(settings.heartbeat_interval_ms));
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut lease_renewed_ms = now();
+    let mut last_heartbeat_ms = 0;
     loop {
         tokio::select! {
-            _ = tick(&mut beat, router, last) => {
-                last = now();
-                anyhow::ensure!(now() < lease_valid + PATIENCE_MS, "no lease comes from it");
-                let number = router.heartbeats.fetch_add(1, Ordering::Relaxed) + 1;
-                replica_view.record_heartbeat(now(), number);
-                let front = RouterStatus {
-                    name: boot.name.clone(),
-                    region: boot.region.clone(),
-                    zone: boot.zone.clone(),
-                    client_address: boot.ingress_address.to_string(),
-                    peer_address: boot.peer_address.to_string(),
-                    epoch: router.view.borrow().epoch,
-                    age_ms: 0,
-                    is_draining: router.is_draining.load(Ordering::Relaxed),
-                };
-                let demand = router.quota.lease_demands(&boot.name, number);
-                let frame = Frame::Heartbeat { router: front, demand };
-                tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(&mut writer, &frame)).await??;
+            () = next_heartbeat(&mut interval, router, last_heartbeat_ms) => {
+                last_heartbeat_ms = now();
+                let silence_ms = last_heartbeat_ms.saturating_sub(lease_renewed_ms);
+                if silence_ms >= LEASE_TIMEOUT_MS {
+                    return Err(ConversationError::NoLease { silence_ms });
+                }
+                send(&mut writer, &heartbeat(router, state)).await?;
             }
-            frame = queue.recv() => {
-                let Some(frame) = frame else { anyhow::bail!("the way out was closed") };
-                tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(&mut writer, &frame)).await??;
+            frame = outgoing.recv() => {
+                let frame = frame.ok_or(ConversationError::QueueClosed)?;
+                send(&mut writer, &frame).await?;
             }
             frame = incoming.recv() => {
-                let frame = frame.unwrap_or(Ok(None))?;
-                let Some(frame) = frame else { anyhow::bail!("it closed") };
-                if let Frame::Lease { heartbeat: number, epoch, grants: shares } = &frame {
-                    if let Some(until) = replica_view.renew_lease(*number, *epoch) {
-                        lease_valid = now();
-                        router.lease.store(replica_view.lease_expires_at(), Ordering::Relaxed);
-                        router.quota.apply_shares(*number, until, shares);
+                match frame.unwrap_or(Ok(None))? {
+                    Some(Frame::Lease { heartbeat, epoch, grants }) => {
+                        if let Some(until_ms) = state.replica.renew_lease(heartbeat, epoch) {
+                            lease_renewed_ms = now();
+                            router.lease.renew(state.replica.lease_expires_at());
+                            router.quota.apply_shares(heartbeat, until_ms, &grants);
+                        }
                     }
-                    continue;
+                    Some(frame) => apply(router, &mut state.replica, frame)?,
+                    None => return Err(ConversationError::Closed),
                 }
-                take(router, replica_view, frame)?;
             }
         }
     }
 }
 
-fn take(router: &Arc<Router>, replica_view: &mut ReplicaView, frame: Frame) -> anyhow::Result<()> {
+/// Waits for the next heartbeat's time: in turn, or at once where a request waits
+/// for its quota.
+async fn next_heartbeat(interval: &mut tokio::time::Interval, router: &Router, last_ms: u64) {
+    let urgent = async {
+        router.quota.urgent.notified().await;
+        let wait_ms = (last_ms + MIN_HEARTBEAT_DISTANCE_MS).saturating_sub(now());
+        tokio::time::sleep(Duration::from_millis(wait_ms)).await;
+    };
+    tokio::select! {
+        _ = interval.tick() => {}
+        () = urgent => interval.reset(),
+    }
+}
+
+/// The next heartbeat, with this router's report and its demand for quota.
+fn heartbeat(router: &Router, state: &mut SessionState) -> Frame {
+    let settings = &router.settings;
+    state.last_heartbeat += 1;
+    let number = state.last_heartbeat;
+    state.replica.record_heartbeat(now(), number);
+    let report = RouterStatus {
+        name: settings.name.clone(),
+        region: settings.region.clone(),
+        zone: settings.zone.clone(),
+        client_address: settings.ingress_address.to_string(),
+        peer_address: settings.peer_address.to_string(),
+        epoch: router.view.borrow().epoch,
+        age_ms: 0,
+        is_draining: router.is_draining.load(Ordering::Relaxed),
+    };
+    let demand = router.quota.lease_demands(&settings.name, number);
+    Frame::Heartbeat {
+        router: report,
+        demand,
+    }
+}
+
+async fn send(writer: &mut OwnedWriteHalf, frame: &Frame) -> Result<(), ConversationError> {
+    match tokio::time::timeout(link::HANDSHAKE_TIMEOUT, link::send(writer, frame)).await {
+        Ok(sent) => Ok(sent?),
+        Err(_) => Err(ConversationError::TimedOut {
+            waiting_for: "sending to the directory node",
+        }),
+    }
+}
+
+/// Applies a frame of the node to this router's state.
+fn apply(
+    router: &Router,
+    replica: &mut ReplicaView,
+    frame: Frame,
+) -> Result<(), ConversationError> {
     match frame {
         Frame::Snapshot { epoch, events } => {
-            let taken = replica_view
-                .apply_snapshot(epoch, &events)
-                .map_err(anyhow::Error::msg)?;
+            let taken = replica.apply_snapshot(epoch, &events)?;
             if taken == ReplicaUpdate::Snapshot {
                 router.cache_tiers.invalidate_all(epoch);
             }
-            router.view.send_replace(Arc::clone(replica_view.view()));
+            router.view.send_replace(Arc::clone(replica.view()));
             router.metrics.increment("pictures");
             log::info!(epoch = epoch; "a picture is in force");
         }
         Frame::Change {
-            base_epoch: prior,
+            base_epoch,
             epoch,
             events,
         } => {
-            replica_view
-                .apply_events(prior, epoch, &events)
-                .map_err(anyhow::Error::msg)?;
+            replica.apply_events(base_epoch, epoch, &events)?;
             // The caches first: whoever sees the new view finds nothing void.
             router.cache_tiers.invalidate(epoch, &events);
-            router.view.send_replace(Arc::clone(replica_view.view()));
+            router.view.send_replace(Arc::clone(replica.view()));
             router.metrics.increment("changes");
             log::info!(epoch = epoch; "in force");
         }
-        Frame::RegistryUpdate(news) => router.membership.write().take(&router.settings.name, &news),
+        Frame::RegistryUpdate(update) => router.membership.write().apply(&update),
         Frame::LookupResponse {
-            request_id: number,
-            response: answer,
-        } => router.pending_lookups.complete(number, answer)?,
-        Frame::Refused { text } => anyhow::bail!("it refuses: {text}"),
-        other => anyhow::bail!("an unexpected frame: {other:?}"),
+            request_id,
+            response,
+        } => router.pending_lookups.complete(request_id, response)?,
+        Frame::Refused { text } => return Err(ConversationError::Refused { text }),
+        other => return Err(ConversationError::unexpected(other)),
     }
     Ok(())
 }
--- /dev/null
+++ b/router/src/startup.rs
@@ -0,0 +1,190 @@
+//! Puts a router together, runs it, and stops it gracefully.
+
+use crate::cache_tiers::CacheTiers;
+use crate::extensions::{AdditionalServer, Extensions};
+use crate::in_flight::InFlight;
+use crate::ingress::Ingress;
+use crate::lease::Lease;
+use crate::membership::Membership;
+use crate::peer_links::PeerLinks;
+use crate::pending_lookups::PendingLookups;
+use crate::rejection::RouterRejection;
+use crate::router::Router;
+use crate::settings::Settings;
+use crate::{load_gossip, operator_api, peer_server, session};
+use anyhow::Context;
+use dispatch::connection_pool::ConnectionPool;
+use dispatch::engine_tracker::EngineTracker;
+use dispatch::quota::QuotaLimiter;
+use dispatch::Dispatcher;
+use parking_lot::RwLock;
+use residency::View;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Weak};
+use std::time::Duration;
+use telemetry::metrics::Metrics;
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::time::Instant;
+use transport::http_listener::HttpListener;
+use transport::{http_server, now};
+
+/// How often pooled connections of engines that left are looked for.
+const POOL_SWEEP: Duration = Duration::from_millis(700);
+/// How often a stopping router looks whether requests are still in flight.
+const STOP_POLL: Duration = Duration::from_millis(20);
+/// How long the operators' server may take to close.
+const OPERATOR_API_CLOSE: Duration = Duration::from_millis(100);
+/// Requests to the additional servers have no bodies; this is the cap.
+const ADDITIONAL_SERVER_BODY_CAP_BYTES: usize = 1 << 16;
+
+/// Runs a router until the process is told to stop.
+///
+/// # Errors
+/// An address that can't be listened at.
+pub async fn run(settings: Settings, extensions: Extensions) -> anyhow::Result<()> {
+    let Extensions {
+        clients,
+        dispatch: options,
+        retries,
+        servers,
+        quota_margin,
+        uses_passive_health_checks,
+    } = extensions;
+    let metrics = Arc::new(Metrics::default());
+    let (view, view_out) = watch::channel(Arc::new(View::default()));
+    let membership = Arc::new(RwLock::new(Membership::new(
+        &settings.name,
+        &settings.region,
+    )));
+    let known = Arc::clone(&membership);
+    let peers = Box::new(move || known.read().settled_router_ranks());
+    let engine_tracker = match uses_passive_health_checks {
+        true => EngineTracker::by_responses(settings.peer_listen_address, peers),
+        false => EngineTracker::by_health(settings.peer_listen_address, peers),
+    };
+    tokio::spawn(Arc::clone(&engine_tracker).run(view_out.clone()));
+    let connections: Arc<ConnectionPool> = Arc::default();
+    if options.idle_timeout_ms > 0 {
+        tokio::spawn(sweep_pool(
+            Arc::clone(&connections),
+            Arc::clone(&engine_tracker),
+        ));
+    }
+    let withdraw = Arc::clone(&retries.withdraw);
+    let (members, fleet) = (Arc::clone(&membership), view_out.clone());
+    let router = Arc::new_cyclic(|router: &Weak<Router>| {
+        let router = router.clone();
+        let dispatcher = Dispatcher {
+            source: settings.peer_listen_address,
+            slot_wait_ms: settings.slot_wait_ms,
+            engine_tracker,
+            view: view_out,
+            metrics: Arc::clone(&metrics),
+            retry_budget: Box::new(move |service| {
+                // A router that sees no other one still shares the fleet's budget.
+                let routers = members
+                    .read()
+                    .router_count()
+                    .max(fleet.borrow().router_count as usize);
+                withdraw(now(), service, routers)
+            }),
+            permit: Arc::new(move |mapping| Ok(check_dispatch(&router, mapping)?)),
+            options,
+            connections,
+        };
+        Router {
+            view,
+            lease: Lease::new(settings.lease_grace_ms),
+            is_draining: AtomicBool::new(false),
+            is_stopped: AtomicBool::new(false),
+            membership,
+            peer_links: PeerLinks::new(&settings.name, settings.peer_listen_address),
+            cache_tiers: CacheTiers::new(
+                settings.local_cache_entries,
+                settings.regional_cache_entries,
+            ),
+            pending_lookups: PendingLookups::default(),
+            quota: quota_margin.map_or_else(QuotaLimiter::default, QuotaLimiter::without_queue),
+            dispatcher,
+            metrics,
+            in_flight: InFlight::default(),
+            settings,
+        }
+    });
+    let listener = listen(router.settings.peer_listen_address).await?;
+    tokio::spawn(peer_server::accept(Arc::clone(&router), listener));
+    tokio::spawn(session::run(Arc::clone(&router)));
+    if uses_passive_health_checks {
+        tokio::spawn(Arc::clone(&router.dispatcher.engine_tracker).probe_suspects());
+        tokio::spawn(load_gossip::run(Arc::clone(&router)));
+    }
+    let listener = listen(router.settings.ingress_address).await?;
+    let ingress = Arc::new(Ingress::new(Arc::clone(&router), clients, retries)).serve(listener);
+    let _additional = serve_additional(&router, servers)?;
+    let operator_api = operator_api::serve(Arc::clone(&router), router.settings.operator_address)?;
+    log::info!(address = router.settings.ingress_address.to_string(); "the router is up");
+    transport::shutdown_signal().await?;
+    stop(&router, &ingress).await;
+    drop(tokio::time::timeout(OPERATOR_API_CLOSE, operator_api.close()).await);
+    Ok(())
+}
+
+async fn listen(address: std::net::SocketAddr) -> anyhow::Result<TcpListener> {
+    TcpListener::bind(address)
+        .await
+        .with_context(|| format!("listening at {address}"))
+}
+
+/// Whether a request may still be dispatched by this mapping: asked in the last
+/// moment before its first byte goes to an engine.
+fn check_dispatch(
+    router: &Weak<Router>,
+    mapping: &residency::Mapping,
+) -> Result<(), RouterRejection> {
+    let router = router.upgrade().ok_or(RouterRejection::ShuttingDown)?;
+    if router.cache_tiers.is_invalidated(mapping) {
+        return Err(RouterRejection::MappingInvalidated);
+    }
+    router.lease.check()
+}
+
+async fn sweep_pool(connections: Arc<ConnectionPool>, engine_tracker: Arc<EngineTracker>) {
+    loop {
+        tokio::time::sleep(POOL_SWEEP).await;
+        connections.evict_expired(|engine| engine_tracker.is_listed(engine));
+    }
+}
+
+fn serve_additional(
+    router: &Arc<Router>,
+    servers: Vec<AdditionalServer>,
+) -> anyhow::Result<Vec<dropshot::HttpServer<http_server::Handler>>> {
+    servers
+        .into_iter()
+        .map(|server| {
+            let handler = (server.handler)(Arc::clone(router));
+            http_server::serve(server.address, ADDITIONAL_SERVER_BODY_CAP_BYTES, handler)
+        })
+        .collect()
+}
+
+/// Stops in two steps: clients that were told of this router before still come for
+/// a while, and those who ask from now on are told of others; then it accepts
+/// nothing more, and streams may finish.
+async fn stop(router: &Router, ingress: &HttpListener) {
+    log::info!("draining: requests are still accepted, new clients are sent elsewhere");
+    router.is_draining.store(true, Ordering::Relaxed);
+    router.quota.urgent.notify_one();
+    ingress.start_draining();
+    tokio::time::sleep(router.settings.drain_period).await;
+    log::info!("stopping: no new requests are accepted");
+    router.is_stopped.store(true, Ordering::Relaxed);
+    let until = Instant::now() + router.settings.shutdown_grace;
+    while router.in_flight.count() > 0 && Instant::now() < until {
+        tokio::time::sleep(STOP_POLL).await;
+    }
+    log::info!(in_flight = router.in_flight.count() as u64; "stopped");
+    // Streams past the bound are broken off, visibly.
+    ingress.shut_down();
+}
--- a/testbed/tests/forwarding.rs
+++ b/testbed/tests/forwarding.rs
@@ -326,7 +326,7 @@
             quota_wait: Duration::from_secs(1),
             max_requests: 100,
             seeds: vec![seed],
-            max_body_bytes: 1 << 20,
+            body_limit_bytes: 1 << 20,
             local_cache_entries: 16,
             regional_cache_entries: 16,
             drain_period: Duration::ZERO,
