--- a/protocol/tests/decode.rs
+++ b/protocol/tests/decode.rs
@@ -4,7 +4,7 @@
 use protocol::{check_version, codec, decode, encode, ConnectionKind, Frame, FrameError, VERSION};
 
 #[test]
-fn garbage_is_refused_and_never_panics() {
+fn garbage_is_rejected_without_a_panic() {
     let cases: Vec<Vec<u8>> = vec![
         vec![],
         vec![0],
@@ -103,7 +103,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_without_panic(bytes in proptest::collection::vec(0u8..=255, 0..200)) {
+    fn arbitrary_bytes_decode_without_a_panic(bytes in proptest::collection::vec(0u8..=255, 0..200)) {
         if let Ok(frame) = decode(&bytes) {
             let again = encode(&frame);
             assert_eq!(decode(&again[4..]), Ok(frame));
--- a/protocol/tests/formats/log.rs
+++ b/protocol/tests/formats/log.rs
@@ -1,7 +1,7 @@
 //! Segments and snapshots of the log on disk.
 
-use crate::bytes::{config, edited, edits};
-use crate::frames::membership;
+use crate::mutations::{config, mutate, mutations};
+use crate::samples::membership;
 use consensus::node::{PersistedState, Write};
 use consensus::wal::{LogStorage, WriteAheadLog};
 use consensus::{Entry, EntryPayload, HardState, Snapshot};
@@ -11,9 +11,9 @@
 use std::io;
 
 #[derive(Clone, Default)]
-struct Memory(BTreeMap<String, Vec<u8>>);
+struct MemoryStorage(BTreeMap<String, Vec<u8>>);
 
-impl Memory {
+impl MemoryStorage {
     fn file(&mut self, name: &str) -> io::Result<&mut Vec<u8>> {
         self.0
             .get_mut(name)
@@ -21,7 +21,7 @@
     }
 }
 
-impl LogStorage for &mut Memory {
+impl LogStorage for &mut MemoryStorage {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.0.keys().cloned().collect())
     }
@@ -80,8 +80,8 @@
 }
 
 /// A folder with a snapshot and a segment behind it.
-fn folder() -> (Memory, PersistedState) {
-    let mut memory = Memory::default();
+fn written_log() -> (MemoryStorage, PersistedState) {
+    let mut memory = MemoryStorage::default();
     let (mut log, _) = WriteAheadLog::open(&mut memory).expect("an empty folder");
     let hard_state = |term| {
         Write::HardState(HardState {
@@ -113,25 +113,25 @@
     ])
     .expect("written");
     drop(log);
-    let (_, kept) = WriteAheadLog::open(&mut memory.clone()).expect("it reads back");
-    (memory, kept)
+    let (_, persisted) = WriteAheadLog::open(&mut memory.clone()).expect("it reads back");
+    (memory, persisted)
 }
 
-fn opened(memory: &Memory) -> Result<PersistedState, String> {
+fn open_twice(memory: &MemoryStorage) -> Result<PersistedState, String> {
     let mut copy = memory.clone();
-    let kept = WriteAheadLog::open(&mut copy).map(|(_, kept)| kept);
-    let kept = kept.map_err(|error| format!("{error:#}"))?;
+    let persisted = WriteAheadLog::open(&mut copy).map(|(_, persisted)| persisted);
+    let persisted = persisted.map_err(|error| format!("{error:#}"))?;
     // What was opened once opens again as the same.
     let (_, again) = WriteAheadLog::open(&mut copy).expect("it was made good");
-    assert!(again.entries == kept.entries && again.hard_state == kept.hard_state);
-    Ok(kept)
+    assert!(again.entries == persisted.entries && again.hard_state == persisted.hard_state);
+    Ok(persisted)
 }
 
-const HEAD: usize = 6;
+const HEADER_BYTES: usize = 6;
 
 /// Changes the body of one record, and gives it a length and a checksum that fit.
-fn recast(file: &[u8], which: Index, change: impl Fn(&[u8]) -> Vec<u8>) -> Vec<u8> {
-    let (mut starts, mut at) = (Vec::new(), HEAD);
+fn mutate_record(file: &[u8], which: Index, change: impl Fn(&[u8]) -> Vec<u8>) -> Vec<u8> {
+    let (mut starts, mut at) = (Vec::new(), HEADER_BYTES);
     while at + 8 <= file.len() {
         starts.push(at);
         let length = u32::from_be_bytes(file[at..at + 4].try_into().expect("four bytes"));
@@ -149,11 +149,14 @@
     bytes
 }
 
-fn check(memory: &Memory) {
-    match opened(memory) {
-        Ok(kept) => {
-            let base = kept.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-            for (entry, index) in kept.entries.iter().zip(base.wrapping_add(1)..) {
+fn check(memory: &MemoryStorage) {
+    match open_twice(memory) {
+        Ok(persisted) => {
+            let base = persisted
+                .snapshot
+                .as_ref()
+                .map_or(0, |snapshot| snapshot.index);
+            for (entry, index) in persisted.entries.iter().zip(base.wrapping_add(1)..) {
                 assert_eq!(entry.index, index, "the log has a gap");
             }
         }
@@ -167,40 +170,40 @@
     /// A folder whose files were changed is refused with the file and the place, or
     /// what was torn off its end is cut away.
     #[test]
-    fn changed_files_are_read_or_refused(which in any::<Index>(), edits in edits()) {
-        let (mut memory, _) = folder();
+    fn mutated_files_open_or_are_rejected(which in any::<Index>(), mutations in mutations()) {
+        let (mut memory, _) = written_log();
         let names: Vec<String> = memory.0.keys().cloned().collect();
         let file = memory.file(&names[which.index(names.len())]).expect("it is there");
-        *file = edited(file, &edits);
+        *file = mutate(file, &mutations);
         check(&memory);
     }
 
     /// The same where the checksum fits: a record of another version, or of a mistake.
     #[test]
-    fn records_that_make_no_sense_are_read_or_refused(
+    fn mutated_records_with_valid_checksums_open_or_are_rejected(
         which in any::<Index>(),
         record in any::<Index>(),
-        edits in edits(),
+        mutations in mutations(),
     ) {
-        let (mut memory, _) = folder();
+        let (mut memory, _) = written_log();
         let names: Vec<String> = memory.0.keys().cloned().collect();
         let file = memory.file(&names[which.index(names.len())]).expect("it is there");
-        *file = recast(file, record, |body| edited(body, &edits));
+        *file = mutate_record(file, record, |body| mutate(body, &mutations));
         check(&memory);
     }
 }
 
 #[test]
-fn what_is_torn_off_the_end_is_a_whole_beginning() {
-    let (memory, whole) = folder();
+fn a_log_cut_at_any_byte_reads_as_a_prefix() {
+    let (memory, complete) = written_log();
     let last = memory.0.keys().next_back().expect("a segment").clone();
     let length = memory.0[&last].len();
     for cut in 0..length {
         let mut torn = memory.clone();
         torn.file(&last).expect("it is there").truncate(cut);
-        let kept = opened(&torn).expect("a torn end is cut away");
+        let persisted = open_twice(&torn).expect("a torn end is cut away");
         assert!(
-            whole.entries.starts_with(&kept.entries),
+            complete.entries.starts_with(&persisted.entries),
             "cut at {cut} of {length}"
         );
     }
--- a/protocol/tests/formats/main.rs
+++ b/protocol/tests/formats/main.rs
@@ -1,9 +1,11 @@
-//! Bytes that are no frame, no message, no record and no snapshot: whatever they are,
-//! they are refused in words, without a panic and without much memory.
+//! Bytes of other formats, damaged or cut: frames, log files, state snapshots and
+//! topology files are rejected with an error, without a panic, and without more memory
+//! than their length allows.
 
-mod bytes;
+mod allocation;
 mod frames;
 mod log;
-mod memory;
+mod mutations;
 mod recorded;
+mod samples;
 mod state;
--- a/protocol/tests/formats/recorded.rs
+++ b/protocol/tests/formats/recorded.rs
@@ -1,9 +1,8 @@
 //! Frames and a state snapshot that an earlier build wrote (`tests/fixtures`): this
 //! build reads them, and writes the same bytes for the same values.
 
-use crate::frames::{
-    cache_sharing, engine, forwarding, handshake, key, name, peers, router_session,
-};
+use crate::samples::frames::{cache_sharing, forwarding, handshake, peers, router_session};
+use crate::samples::{engine, key, name};
 use crate::state::TOPOLOGY;
 use protocol::{decode, encode, Frame};
 use residency::{
--- a/protocol/tests/formats/state.rs
+++ b/protocol/tests/formats/state.rs
@@ -1,8 +1,8 @@
 //! Snapshots of the state, proposals, and events as a router takes them.
 
-use crate::bytes::{allowance, config, edited, edits};
-use crate::frames::{commands, events};
-use crate::memory::peak;
+use crate::allocation::peak_bytes;
+use crate::mutations::{config, max_memory_bytes, mutate, mutations};
+use crate::samples::{commands, events};
 use consensus::codec::{from_bytes, to_bytes};
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_snapshot_reads_back_and_no_part_of_it_does() {
+fn a_snapshot_round_trips_and_no_prefix_of_it_restores() {
     let bytes = state().snapshot();
     let again = State::restore(&bytes).expect("its own snapshot");
     assert_eq!(again.snapshot(), bytes);
@@ -58,8 +58,8 @@
 
     /// A changed snapshot is refused in words, or is a state that works.
     #[test]
-    fn changed_snapshots_are_read_or_refused(edits in edits()) {
-        let bytes = edited(&state().snapshot(), &edits);
+    fn mutated_snapshots_restore_or_are_rejected(mutations in mutations()) {
+        let bytes = mutate(&state().snapshot(), &mutations);
         match State::restore(&bytes) {
             Ok(mut state) => {
                 for (command, epoch) in commands().into_iter().zip(1_000..) {
@@ -75,13 +75,13 @@
 
     /// A changed proposal is refused, or does to a state what it says.
     #[test]
-    fn changed_submissions_are_read_or_refused(which in any::<Index>(), edits in edits()) {
+    fn mutated_proposals_decode_or_are_rejected(which in any::<Index>(), mutations in mutations()) {
         let all = commands();
         let command = all[which.index(all.len())].clone();
         let proposal = Proposal { id: "s".into(), base_epoch: 0, command };
-        let bytes = edited(&to_bytes(&proposal), &edits);
-        let (read, most) = peak(|| from_bytes::<Proposal>(&bytes));
-        prop_assert!(most <= allowance(bytes.len()), "{} bytes of memory", most);
+        let bytes = mutate(&to_bytes(&proposal), &mutations);
+        let (read, most) = peak_bytes(|| from_bytes::<Proposal>(&bytes));
+        prop_assert!(most <= max_memory_bytes(bytes.len()), "{} bytes of memory", most);
         if let Ok(read) = read {
             prop_assert_eq!(from_bytes::<Proposal>(&to_bytes(&read)), Ok(read.clone()));
             let mut state = state();
@@ -93,9 +93,9 @@
 
     /// A view takes any events that can be read.
     #[test]
-    fn changed_events_are_taken(which in any::<Index>(), edits in edits()) {
+    fn mutated_events_are_applied(which in any::<Index>(), mutations in mutations()) {
         let all = events();
-        let bytes = edited(&to_bytes(&all[which.index(all.len())]), &edits);
+        let bytes = mutate(&to_bytes(&all[which.index(all.len())]), &mutations);
         if let Ok(event) = from_bytes::<residency::Event>(&bytes) {
             let mut view = View::default();
             view.apply(&event);
@@ -105,8 +105,8 @@
 
     /// Books that are JSON of any shape are read, or refused in words.
     #[test]
-    fn changed_books_are_read_or_refused(edits in edits()) {
-        let bytes = edited(TOPOLOGY.as_bytes(), &edits);
+    fn mutated_topologies_are_read_or_rejected(mutations in mutations()) {
+        let bytes = mutate(TOPOLOGY.as_bytes(), &mutations);
         if let Ok(text) = std::str::from_utf8(&bytes) {
             match residency::parse_json(text).map(|value| Topology::from_json(&value)) {
                 Ok(Ok(_)) => {}
@@ -119,7 +119,7 @@
 
 /// Guards: a document is refused for its depth, not by the end of a thread's stack.
 #[test]
-fn depth_without_end_is_refused() {
+fn unbounded_nesting_is_rejected() {
     for open in ["[", "{\"a\":", "[{\"a\":"] {
         for depth in [10, 1_000, 100_000] {
             let text = open.repeat(depth);
