--- a/consensus/src/codec.rs
+++ b/consensus/src/codec.rs
@@ -1,9 +1,22 @@
-//! Strings, byte strings and lists in binrw layouts: a 32-bit count, big-endian, then
-//! the content. A count that was read never reserves memory before the content is there.
+//! Booleans, strings, byte strings and lists in binrw layouts. A boolean is one byte; the
+//! others are a 32-bit count, big-endian, and the content. Decoding never reserves memory
+//! for a count whose content is not there.
 
 use binrw::{BinRead, BinResult, BinWrite, Endian};
 use std::io::{Cursor, Read, Seek, Write};
 
+/// Reads a boolean: one byte, where anything but 0 is true.
+#[binrw::parser(reader, endian)]
+pub fn read_bool() -> BinResult<bool> {
+    Ok(u8::read_options(reader, endian, ())? != 0)
+}
+
+/// Writes a boolean as `read_bool` reads it: 0 or 1.
+#[binrw::writer(writer, endian)]
+pub fn write_bool(value: &bool) -> BinResult<()> {
+    u8::from(*value).write_options(writer, endian, ())
+}
+
 /// Reads a byte string: its length, then its bytes.
 #[binrw::parser(reader, endian)]
 pub fn read_bytes() -> BinResult<Vec<u8>> {
@@ -88,22 +101,36 @@
     cursor.into_inner()
 }
 
+/// Why bytes can't be decoded. A retry gives the same error.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum DecodeError {
+    /// A field is cut short or has no valid value; the text says which, at what offset.
+    #[error("{0}")]
+    Invalid(String),
+    /// The item is complete, and this many bytes follow it.
+    #[error("{0} bytes too many")]
+    TrailingBytes(usize),
+}
+
+impl From<DecodeError> for String {
+    fn from(error: DecodeError) -> String {
+        error.to_string()
+    }
+}
+
 /// Decodes one item that fills `bytes` to the last.
 ///
 /// # Errors
-/// A sentence that says what was expected and at which position.
-pub fn from_bytes<T>(bytes: &[u8]) -> Result<T, String>
+/// [`DecodeError`], if the bytes are not exactly one item.
+pub fn from_bytes<T>(bytes: &[u8]) -> Result<T, DecodeError>
 where
     T: for<'a> BinRead<Args<'a> = ()>,
 {
     let mut cursor = Cursor::new(bytes);
     let item = T::read_options(&mut cursor, Endian::Big, ())
-        .map_err(|error| error.to_string().replace('\n', " "))?;
-    match cursor.position() as usize == bytes.len() {
-        true => Ok(item),
-        false => Err(format!(
-            "{} bytes too many",
-            bytes.len() - cursor.position() as usize
-        )),
+        .map_err(|error| DecodeError::Invalid(error.to_string().replace('\n', " ")))?;
+    match bytes.len() - cursor.position() as usize {
+        0 => Ok(item),
+        left => Err(DecodeError::TrailingBytes(left)),
     }
 }
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -25,4 +25,5 @@
 pub use entry::{Entry, EntryPayload};
 pub use membership::{Member, Membership, MembershipChange};
 pub use message::{Message, MessageBody};
+use types::LogPosition;
 pub use types::{ClusterId, HardState, LogIndex, NodeId, Snapshot, Term};
--- a/consensus/src/message.rs
+++ b/consensus/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes: the thesis' RPCs, each request and response a message of its
 //! own (Raft thesis, figure 3.1; pre-vote §9.6, leadership transfer §3.10).
 
-use crate::codec::{read_list, write_list};
+use crate::codec::{read_bool, read_list, write_bool, write_list};
 use crate::{ClusterId, Entry, LogIndex, NodeId, Snapshot, Term};
 use binrw::binrw;
 
@@ -41,8 +41,8 @@
     #[brw(magic = 1u8)]
     PreVoteResponse {
         /// Whether the receiver would vote for the sender of the request.
-        #[br(map = |n: u8| n != 0)]
-        #[bw(map = |b: &bool| u8::from(*b))]
+        #[br(parse_with = read_bool)]
+        #[bw(write_with = write_bool)]
         granted: bool,
     },
     /// Asks for a vote in the sender's term (Raft thesis §3.4, figure 3.1).
@@ -54,16 +54,16 @@
         last_log_term: Term,
         /// Disregards a live leader (Raft thesis §4.2.3): the leader itself asked for the
         /// election (§3.10), or the cluster is being bootstrapped.
-        #[br(map = |n: u8| n != 0)]
-        #[bw(map = |b: &bool| u8::from(*b))]
+        #[br(parse_with = read_bool)]
+        #[bw(write_with = write_bool)]
         is_transfer: bool,
     },
     /// Answers `RequestVote`.
     #[brw(magic = 3u8)]
     RequestVoteResponse {
         /// Whether the vote was granted to the candidate.
-        #[br(map = |n: u8| n != 0)]
-        #[bw(map = |b: &bool| u8::from(*b))]
+        #[br(parse_with = read_bool)]
+        #[bw(write_with = write_bool)]
         granted: bool,
     },
     /// Replicates entries; without entries it is a heartbeat (Raft thesis §3.5, figure
@@ -87,8 +87,8 @@
     #[brw(magic = 5u8)]
     AppendEntriesResponse {
         /// Whether the log matched at `prev_log_index`.
-        #[br(map = |n: u8| n != 0)]
-        #[bw(map = |b: &bool| u8::from(*b))]
+        #[br(parse_with = read_bool)]
+        #[bw(write_with = write_bool)]
         is_match: bool,
         /// Where `is_match`: the last index up to which the sender's log is synced and
         /// known to equal the leader's. Otherwise: the index after which the leader tries
--- a/consensus/src/node/raft_log.rs
+++ b/consensus/src/node/raft_log.rs
@@ -2,7 +2,7 @@
 //! committed and applied (Raft thesis §3.5, §5.1).
 
 use super::SnapshotPolicy;
-use crate::{Entry, EntryPayload, LogIndex, Snapshot, Term};
+use crate::{Entry, EntryPayload, LogIndex, LogPosition, Snapshot, Term};
 use std::collections::VecDeque;
 
 /// A message takes no further entry once its commands have this many bytes. One entry
@@ -47,15 +47,21 @@
     }
 
     pub(super) fn last_index(&self) -> LogIndex {
-        self.entries
-            .back()
-            .map_or(self.snapshot.index, |entry| entry.index)
+        self.last_position().index
     }
 
     pub(super) fn last_term(&self) -> Term {
+        self.last_position().term
+    }
+
+    /// Term and index of the last entry.
+    fn last_position(&self) -> LogPosition {
         self.entries
             .back()
-            .map_or(self.snapshot.term, |entry| entry.term)
+            .map_or(self.snapshot.position(), |entry| LogPosition {
+                term: entry.term,
+                index: entry.index,
+            })
     }
 
     /// Term of the entry at `index`; none where it precedes the snapshot or is past the
@@ -72,10 +78,10 @@
         self.entries.get(index.checked_sub(first)? as usize)
     }
 
-    /// Whether a log that ends in this term at this index is at least as up-to-date as
-    /// this one (Raft thesis §3.6.1).
-    pub(super) fn is_up_to_date(&self, last_term: Term, last_index: LogIndex) -> bool {
-        (last_term, last_index) >= (self.last_term(), self.last_index())
+    /// Whether a candidate's log that ends here is at least as up-to-date as this one
+    /// (Raft thesis §3.6.1).
+    pub(super) fn is_up_to_date(&self, last: LogPosition) -> bool {
+        last >= self.last_position()
     }
 
     pub(super) fn append(&mut self, entry: Entry) {
--- a/consensus/src/node/receive.rs
+++ b/consensus/src/node/receive.rs
@@ -2,7 +2,7 @@
 //! (Raft thesis, figure 3.1, rules for servers).
 
 use super::{Node, Role};
-use crate::{ClusterId, HardState, LogIndex, Message, MessageBody, NodeId, Term};
+use crate::{ClusterId, HardState, LogPosition, Message, MessageBody, NodeId, Term};
 
 impl Node {
     /// Takes one message from another node.
@@ -23,9 +23,12 @@
                 last_log_index,
                 last_log_term,
             } => {
-                let granted = term >= self.term()
-                    && !has_live_leader
-                    && self.log.is_up_to_date(last_log_term, last_log_index);
+                let last = LogPosition {
+                    term: last_log_term,
+                    index: last_log_index,
+                };
+                let granted =
+                    term >= self.term() && !has_live_leader && self.log.is_up_to_date(last);
                 return self.send(from, MessageBody::PreVoteResponse { granted });
             }
             // A candidate that misses the leader alone does not disturb the others (Raft
@@ -91,7 +94,13 @@
                 last_log_index,
                 last_log_term,
                 ..
-            } => self.handle_request_vote(from, last_log_index, last_log_term),
+            } => {
+                let last = LogPosition {
+                    term: last_log_term,
+                    index: last_log_index,
+                };
+                self.handle_request_vote(from, last);
+            }
             MessageBody::RequestVoteResponse { granted } => {
                 if granted && self.election.role == Role::Candidate {
                     self.count_vote(from);
@@ -137,11 +146,10 @@
 
     /// Grants a vote: one in a term, and only to a candidate whose log is at least as
     /// up-to-date (Raft thesis §3.4, §3.6.1).
-    fn handle_request_vote(&mut self, from: NodeId, last_log_index: LogIndex, last_log_term: Term) {
+    fn handle_request_vote(&mut self, from: NodeId, last: LogPosition) {
         let vote = self.durable.hard_state.vote;
-        let granted = (vote == 0 || vote == from)
-            && self.log.is_up_to_date(last_log_term, last_log_index)
-            && !self.is_stalled();
+        let granted =
+            (vote == 0 || vote == from) && self.log.is_up_to_date(last) && !self.is_stalled();
         if granted {
             if vote == 0 {
                 self.persist_hard_state(HardState {
--- a/consensus/src/repair.rs
+++ b/consensus/src/repair.rs
@@ -1,51 +1,54 @@
 //! Which change of membership a leader makes by itself, one at a time.
 //!
-//! The decision is a pure function of how the members stand. A voter that is
-//! silent or that is about to stop is replaced by a learner that has caught up:
-//! the learner is promoted first and the other one demoted next, so that the
-//! number of voters never falls below what it was. Voters are spread so that the
-//! loss of one zone or region leaves a majority wherever the members allow it.
+//! The decision is a pure function of the members' health. A voter that is silent or
+//! about to stop is replaced by a learner that has caught up: the learner is promoted
+//! first and the voter demoted next (Raft thesis §4.1 and §4.2.1, one server at a time),
+//! so that the number of voters never falls below what it was. Voters are spread so that
+//! the loss of one zone or region leaves a majority wherever the members allow it.
 
 use crate::{Member, MembershipChange, NodeId};
 use std::collections::BTreeMap;
 
-/// How a member stands, as its leader knows it.
+/// Health of a member, as its leader knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberHealth<'a> {
     /// The member in question.
     pub member: &'a Member,
-    /// Milliseconds since the leader heard of it last; 0 for the leader itself.
+    /// Milliseconds since the leader last received a message from it; 0 for the leader itself.
     pub silent_ms: u64,
-    /// It is heard, and has synced all but the newest entries and the membership
-    /// in force.
+    /// It was heard within an election timeout, and has synced all but the newest entries,
+    /// including the membership in force.
     pub is_caught_up: bool,
-    /// It asked to stop.
+    /// It announced that it is about to stop.
     pub is_leaving: bool,
 }
 
-/// Bounds of repair.
+/// When repair changes the membership.
 #[derive(Clone, Copy, Debug)]
 pub struct RepairPolicy {
-    /// How many voters there should be.
+    /// The number of voters to keep.
     pub voters: usize,
     /// A voter that is silent for this long is replaced where a learner is ready.
     pub replace_voter_after_ms: u64,
-    /// A learner that is silent for this long leaves the list.
+    /// A learner that is silent for this long is removed from the membership.
     pub remove_learner_after_ms: u64,
 }
 
 /// Why no change is made.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum NoChange {
-    /// Nothing is to be repaired.
+    /// The membership needs no repair.
     #[error("nothing to repair")]
     NothingToRepair,
-    /// Voters are missing or to be replaced, and no learner has caught up.
+    /// Voters are missing or must be replaced, and no learner has caught up.
     #[error("waits for a learner that has caught up")]
     NoReadyLearner,
 }
 
-/// Says which change comes next, or why none does. `leader` is never demoted.
+/// Decides which change comes next. `leader` is never demoted.
+///
+/// # Errors
+/// [`NoChange`] says why there is none; that is a state, not a failure.
 pub fn next_change(
     voters: &[MemberHealth],
     learners: &[MemberHealth],
@@ -70,7 +73,7 @@
         .ok_or(NoChange::NothingToRepair)
 }
 
-/// The voter that is silent for longest past the bound, else one that is leaving.
+/// The voter that has been silent for longest, past the limit; else one that is leaving.
 fn voter_to_replace(
     voters: &[MemberHealth],
     leader: NodeId,
@@ -116,8 +119,8 @@
         .map(|voter| voter.identity)
 }
 
-/// A ready learner whose place among the voters, in exchange for one of them,
-/// would let the loss of a zone or region be borne that can't be now.
+/// A ready learner that, in exchange for one of the voters, would let the cluster survive
+/// the loss of a zone or region that it can't survive now.
 fn better_spread(
     voters: &[MemberHealth],
     learners: &[MemberHealth],
@@ -165,10 +168,10 @@
     Spread::of(&staying)
 }
 
-/// How voters stand over regions and zones. A smaller one is better.
+/// How voters are spread over regions and zones. A smaller value is better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Spread {
-    /// By how many voters the fullest region exceeds what may be lost.
+    /// By how many voters the fullest region exceeds the number that may be lost.
     region_excess: usize,
     zone_excess: usize,
     /// Sums of squares: smaller where voters are spread more evenly.
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -13,6 +13,14 @@
 /// Election term; each term has at most one leader (Raft thesis §3.3).
 pub type Term = u64;
 
+/// Term and index of an entry. The order is that in which logs are compared in an
+/// election: the later term first, then the longer log (Raft thesis §3.6.1).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct LogPosition {
+    pub(crate) term: Term,
+    pub(crate) index: LogIndex,
+}
+
 /// The whole state as of one entry (Raft thesis §5.1). Invariant: `members` is the membership in
 /// force at `index`, and `state` holds every entry up to it and none past it.
 #[binrw]
@@ -33,6 +41,16 @@
     pub state: Vec<u8>,
 }
 
+impl Snapshot {
+    /// Term and index of the last entry that it includes.
+    pub(crate) fn position(&self) -> LogPosition {
+        LogPosition {
+            term: self.term,
+            index: self.index,
+        }
+    }
+}
+
 /// Term and vote, which must be synced before a vote or a message of a new term is sent
 /// (Raft thesis, figure 3.1, persistent state; `HardState` in raft-rs). Invariant:
 /// `term` never falls; a vote given in a term is not changed within it.
--- a/consensus/src/wal/error.rs
+++ b/consensus/src/wal/error.rs
@@ -1,5 +1,6 @@
 //! Errors of the write-ahead log: which file, where, what was expected and what is there.
 
+use crate::codec::DecodeError;
 use std::io;
 
 /// Why the write-ahead log can't be read or written.
@@ -71,8 +72,8 @@
         found: u32,
     },
     /// A record's checksum is right, and its content can't be decoded.
-    #[error("{0}")]
-    UndecodableRecord(String),
+    #[error(transparent)]
+    UndecodableRecord(DecodeError),
     /// A snapshot file goes on after its only record.
     #[error("something follows the snapshot: {0} bytes")]
     TrailingBytes(usize),
--- a/consensus/src/wal/mod.rs
+++ b/consensus/src/wal/mod.rs
@@ -21,7 +21,7 @@
 pub use storage::{DiskStorage, LogStorage};
 
 use crate::node::{PersistedState, Write};
-use crate::{HardState, LogIndex, Snapshot, Term};
+use crate::{HardState, LogIndex, LogPosition, Snapshot};
 use error::{directory_error, io_error};
 use record::{file_header, record_bytes, Record, SEGMENT_MAGIC};
 use recovery::Recovered;
@@ -70,7 +70,7 @@
             snapshots,
             reset,
         } = recovery::recover(&mut storage)?;
-        let (base, _) = recovery::snapshot_position(&state);
+        let base = recovery::snapshot_position(&state).index;
         let mut log = WriteAheadLog {
             storage,
             active_segment: newest_segment,
@@ -132,7 +132,7 @@
                     self.append_and_sync(&std::mem::take(&mut bytes))?;
                     self.write_snapshot(snapshot)?;
                     self.last_index = snapshot.index;
-                    self.rotate(Some((snapshot.index, snapshot.term)))?;
+                    self.rotate(Some(snapshot.position()))?;
                     self.remove_superseded(snapshot.index)?;
                 }
                 Write::Snapshot(snapshot) => {
@@ -163,7 +163,7 @@
 
     /// Closes the active segment and begins the next one, with a reset of the log in it
     /// if one is given.
-    fn rotate(&mut self, reset: Option<(LogIndex, Term)>) -> Result<(), WalError> {
+    fn rotate(&mut self, reset: Option<LogPosition>) -> Result<(), WalError> {
         if self.active_bytes > 0 {
             self.closed_segments.push(ClosedSegment {
                 number: self.active_segment,
@@ -173,8 +173,8 @@
         self.active_segment += 1;
         let mut bytes = file_header(SEGMENT_MAGIC);
         bytes.extend(record_bytes(&Record::HardState(self.hard_state)));
-        if let Some((index, term)) = reset {
-            bytes.extend(record_bytes(&Record::Reset(index, term)));
+        if let Some(LogPosition { term, index }) = reset {
+            bytes.extend(record_bytes(&Record::Reset { index, term }));
         }
         self.active_bytes = 0;
         let name = segment_name(self.active_segment);
--- a/consensus/src/wal/record.rs
+++ b/consensus/src/wal/record.rs
@@ -31,7 +31,12 @@
     Entry(Entry),
     /// All entries before this record are void; the log continues after this index.
     #[brw(magic = 4u8)]
-    Reset(LogIndex, Term),
+    Reset {
+        /// Index of the snapshot's last entry.
+        index: LogIndex,
+        /// Term of that entry.
+        term: Term,
+    },
 }
 
 /// The record that holds `item`, with its header.
--- a/consensus/src/wal/recovery.rs
+++ b/consensus/src/wal/recovery.rs
@@ -6,7 +6,7 @@
 use super::{segment_name, snapshot_file, ClosedSegment, SEGMENT_PREFIX};
 use crate::codec::from_bytes;
 use crate::node::PersistedState;
-use crate::{Entry, LogIndex, Term};
+use crate::{Entry, LogIndex, LogPosition, Snapshot};
 
 /// What was found in the directory.
 pub(super) struct Recovered {
@@ -17,9 +17,9 @@
     pub(super) newest_segment: u64,
     /// Indexes of the snapshot files.
     pub(super) snapshots: Vec<LogIndex>,
-    /// Index and term of the snapshot, where all entries in the segments precede it or
+    /// Position of the snapshot, where all entries in the segments precede it or
     /// belong to another branch: the log must be reset there.
-    pub(super) reset: Option<(LogIndex, Term)>,
+    pub(super) reset: Option<LogPosition>,
 }
 
 /// Reads the directory, removes partial snapshot files and cuts off a torn tail.
@@ -69,22 +69,22 @@
 
 /// Drops the entries that the snapshot covers, and all of them where the log at the
 /// snapshot's index is of another term: then it is a branch that the snapshot replaced.
-/// Returns the snapshot's index and term if there were entries and none is left.
-fn discard_covered_entries(state: &mut PersistedState) -> Option<(LogIndex, Term)> {
-    let (base, base_term) = snapshot_position(state);
+/// Returns the snapshot's position if there were entries and none is left.
+fn discard_covered_entries(state: &mut PersistedState) -> Option<LogPosition> {
+    let base = snapshot_position(state);
     let is_other_branch = state
         .entries
         .iter()
-        .any(|entry| entry.index == base && entry.term != base_term);
+        .any(|entry| entry.index == base.index && entry.term != base.term);
     let count = state.entries.len();
     state
         .entries
-        .retain(|entry| entry.index > base && !is_other_branch);
-    (count > 0 && state.entries.is_empty()).then_some((base, base_term))
+        .retain(|entry| entry.index > base.index && !is_other_branch);
+    (count > 0 && state.entries.is_empty()).then_some(base)
 }
 
 fn check_log_follows_snapshot(state: &PersistedState, oldest: u64) -> Result<(), WalError> {
-    let (base, _) = snapshot_position(state);
+    let base = snapshot_position(state).index;
     match state.entries.first() {
         Some(first) if first.index != base + 1 => Err(Corruption::MissingEntries {
             snapshot: base,
@@ -95,12 +95,10 @@
     }
 }
 
-/// Index and term of the snapshot; 0 without one.
-pub(super) fn snapshot_position(state: &PersistedState) -> (LogIndex, Term) {
-    state
-        .snapshot
-        .as_ref()
-        .map_or((0, 0), |snapshot| (snapshot.index, snapshot.term))
+/// The position of the snapshot; 0 without one.
+pub(super) fn snapshot_position(state: &PersistedState) -> LogPosition {
+    let snapshot = state.snapshot.as_ref();
+    snapshot.map_or(LogPosition::default(), Snapshot::position)
 }
 
 /// Applies a segment's records to `state`. Returns false for a segment that a crash left
@@ -155,7 +153,7 @@
     match record {
         Record::HardState(hard_state) => state.hard_state = hard_state,
         Record::Truncate(from) => state.entries.retain(|entry| entry.index < from),
-        Record::Reset(..) => state.entries.clear(),
+        Record::Reset { .. } => state.entries.clear(),
         Record::Entry(entry) => append_entry(entry, &mut state.entries)?,
     }
     Ok(())
--- a/directory/src/peers/sender_check.rs
+++ b/directory/src/peers/sender_check.rs
@@ -66,7 +66,7 @@
             .map_err(|error| error.to_string()),
         MessageBody::AppendEntries { entries, .. } => {
             entries.iter().try_for_each(|entry| match &entry.payload {
-                EntryPayload::Command(bytes) => from_bytes::<Proposal>(bytes).map(drop),
+                EntryPayload::Command(bytes) => Ok(from_bytes::<Proposal>(bytes).map(drop)?),
                 _ => Ok(()),
             })
         }
--- a/residency/src/state/snapshot.rs
+++ b/residency/src/state/snapshot.rs
@@ -51,7 +51,8 @@
         if bytes.is_empty() {
             return Ok(State::default());
         }
-        let snapshot: StateSnapshot = from_bytes(bytes).map_err(RestoreError::Bytes)?;
+        let snapshot: StateSnapshot =
+            from_bytes(bytes).map_err(|error| RestoreError::Bytes(error.into()))?;
         let document = parse_json(&snapshot.document.0)?;
         let topology = Topology::from_json(&document)?;
         let mut view = View::default();
