--- a/policy/src/compile.rs
+++ b/policy/src/compile.rs
@@ -1,6 +1,6 @@
 //! The compiler: a text of rules to a program, with every error and its place.
 
-use crate::error::{CompileError, CompileErrorKind};
+use crate::error::{CompileError, CompileErrorKind, Parsed};
 use crate::parser::{parse_ingress, parse_route, parse_set_point, Statement};
 use crate::{Ingress, Program, Route, SetPoints};
 
@@ -13,7 +13,7 @@
 }
 
 impl Declarations {
-    fn add_line(&mut self, line: usize, text: &str) -> Result<(), CompileError> {
+    fn add_line(&mut self, line: usize, text: &str) -> Parsed<()> {
         let mut statement = Statement::split(line, text)?;
         if statement.is_empty() {
             return Ok(());
--- a/policy/src/error.rs
+++ b/policy/src/error.rs
@@ -12,6 +12,9 @@
     pub kind: CompileErrorKind,
 }
 
+/// What a parser read, or the line's first error.
+pub(crate) type Parsed<T> = Result<T, CompileError>;
+
 /// What is wrong with one line of rules.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum CompileErrorKind {
--- a/policy/src/parser.rs
+++ b/policy/src/parser.rs
@@ -9,11 +9,9 @@
 pub(crate) use route::parse_route;
 pub(crate) use statement::Statement;
 
-use crate::error::{CompileError, CompileErrorKind};
+use crate::error::{CompileErrorKind, Parsed};
 use crate::{Ingress, SetPoints};
 
-type Parsed<T> = Result<T, CompileError>;
-
 /// The least that the set point `fill` has an effect as.
 const MIN_TARGET_UTILIZATION: f64 = 0.05;
 
--- a/policy/src/parser/route.rs
+++ b/policy/src/parser/route.rs
@@ -1,8 +1,7 @@
 //! Parsing a route.
 
 use super::statement::Statement;
-use super::Parsed;
-use crate::error::CompileErrorKind;
+use crate::error::{CompileErrorKind, Parsed};
 use crate::{Ingress, PromptPrefix, Route, Target, WeightedService};
 
 /// The time to the head of a response where a route states none.
--- a/policy/src/parser/statement.rs
+++ b/policy/src/parser/statement.rs
@@ -1,7 +1,6 @@
 //! One line of rules as words, and taking them in order.
 
-use super::Parsed;
-use crate::error::{CompileError, CompileErrorKind};
+use crate::error::{CompileError, CompileErrorKind, Parsed};
 
 /// A word of a line.
 struct Word {
--- a/policy/src/parser/values.rs
+++ b/policy/src/parser/values.rs
@@ -1,7 +1,7 @@
 //! Values of the policy language: counts, durations, ratios, names, paths, sources.
 
 use super::statement::Statement;
-use super::Parsed;
+use crate::error::Parsed;
 use crate::Source;
 
 /// The most names that lead to a field of a JSON body.
--- a/residency/src/state.rs
+++ b/residency/src/state.rs
@@ -11,11 +11,12 @@
 mod plan;
 mod recent_proposals;
 mod resolve;
+mod scheduled_window;
 mod snapshot;
 
 pub use error::{CommandError, ResolveError, RestoreError};
-pub use maintenance::ScheduledWindow;
 pub use recent_proposals::RECENT_PROPOSALS;
+pub use scheduled_window::ScheduledWindow;
 
 use crate::last_changed::{LastChanged, Subject};
 use crate::{Command, ConfigDocument, Event, Name, Outcome, Proposal, Topology, View};
--- a/residency/src/state/resolve.rs
+++ b/residency/src/state/resolve.rs
@@ -1,6 +1,7 @@
 //! Lookups: where the requests of a routing key may go.
 
-use super::{Pin, ResolveError, State};
+use super::error::ResolveError;
+use super::{Pin, State};
 use crate::{routing_key, Engine, EngineState, Mapping, Name};
 
 /// How a cell ranks for a routing key: the derived order of its fields, in their order.
--- a/residency/src/state/snapshot.rs
+++ b/residency/src/state/snapshot.rs
@@ -1,7 +1,9 @@
 //! Snapshots: the whole state as bytes, and back.
 
+use super::error::RestoreError;
 use super::recent_proposals::RecentProposal;
-use super::{Pin, RestoreError, ScheduledWindow, State};
+use super::scheduled_window::ScheduledWindow;
+use super::{Pin, State};
 use crate::last_changed::LastChanged;
 use crate::{parse_json, ConfigDocument, Event, Name, Topology, View};
 use binrw::binrw;
--- a/residency/src/topology/parse.rs
+++ b/residency/src/topology/parse.rs
@@ -1,7 +1,8 @@
 //! Reading a topology file from JSON.
 
+use super::error::{TopologyErrorKind, TopologyErrors};
 use super::reader::{join, Member, Reader};
-use super::{fields, Service, Tenant, Topology, TopologyErrorKind, TopologyErrors};
+use super::{fields, Service, Tenant, Topology};
 use crate::RequestLimits;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
--- a/residency/src/topology/reader.rs
+++ b/residency/src/topology/reader.rs
@@ -1,6 +1,6 @@
 //! Reading the fields of JSON objects, with every error and its path.
 
-use super::{Expected, TopologyError, TopologyErrorKind};
+use super::error::{Expected, TopologyError, TopologyErrorKind};
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 
