--- a/directory/src/operator_api/proposal.rs
+++ b/directory/src/operator_api/proposal.rs
@@ -133,7 +133,7 @@
 
 fn read_engine_state(value: &OwnedValue) -> Result<EngineState, String> {
     match text(value, "state")?.as_str() {
-        "coming" => Ok(EngineState::Coming),
+        "coming" => Ok(EngineState::Announced),
         "serving" => Ok(EngineState::Serving),
         "draining" => Ok(EngineState::Draining),
         other => Err(format!(
--- a/protocol/tests/formats/samples/mod.rs
+++ b/protocol/tests/formats/samples/mod.rs
@@ -92,7 +92,7 @@
         Command::RemoveEngine(name("i-1")),
         Command::SetEngineState {
             name: name("i-1"),
-            state: EngineState::Coming,
+            state: EngineState::Announced,
         },
         Command::SetEngineState {
             name: name("i-1"),
--- a/residency/src/engine.rs
+++ b/residency/src/engine.rs
@@ -9,8 +9,8 @@
 #[brw(big, repr = u8)]
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EngineState {
-    /// Announced; gets no requests yet.
-    Coming = 0,
+    /// Listed by the platform; gets no requests yet.
+    Announced = 0,
     /// Gets requests.
     Serving = 1,
     /// Finishes its pending requests and gets no more.
@@ -20,7 +20,8 @@
 impl std::fmt::Display for EngineState {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            EngineState::Coming => "coming",
+            // The name in the operator API.
+            EngineState::Announced => "coming",
             EngineState::Serving => "serving",
             EngineState::Draining => "draining",
         })
--- a/residency/src/last_changed.rs
+++ b/residency/src/last_changed.rs
@@ -1,7 +1,7 @@
 //! Fencing of late commands: which epoch last changed each subject. A command that was
 //! built on an older epoch of its subject is a conflict.
 
-use crate::{Command, Event, Name};
+use crate::{Command, Epoch, Event, Name};
 use binrw::binrw;
 use consensus::codec::{read_list, write_list};
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct ZoneChange {
     zone: Name,
-    epoch: u64,
+    epoch: Epoch,
 }
 
 /// The epoch that last changed each subject. Invariant: no epoch here ever falls, so
@@ -35,7 +35,7 @@
 #[brw(big)]
 #[derive(Clone, Debug, PartialEq, Default)]
 pub(crate) struct LastChanged {
-    subjects: [u64; SUBJECT_COUNT],
+    subjects: [Epoch; SUBJECT_COUNT],
     /// Zones that were evacuated or reinstated at any time. A zone that leaves the
     /// topology stays in this list, since it may come back.
     #[br(parse_with = read_list)]
@@ -44,19 +44,19 @@
 }
 
 impl LastChanged {
-    pub(crate) fn of(&self, subject: Subject) -> u64 {
+    pub(crate) fn of(&self, subject: Subject) -> Epoch {
         self.subjects[subject as usize]
     }
 
     /// The epoch that last changed what a command is about.
-    pub(crate) fn of_command(&self, command: &Command) -> u64 {
+    pub(crate) fn of_command(&self, command: &Command) -> Epoch {
         match command {
             Command::EvacuateZone(zone) | Command::ReinstateZone(zone) => self.zone(zone),
             command => self.of(subject_of(command)),
         }
     }
 
-    fn zone(&self, zone: &Name) -> u64 {
+    fn zone(&self, zone: &Name) -> Epoch {
         self.zones
             .iter()
             .find(|change| change.zone == *zone)
@@ -65,7 +65,7 @@
 
     /// Records what an applied command changed. A command that finds its zone already in
     /// the wanted state counts as a change of it: what was sent before it is late.
-    pub(crate) fn record(&mut self, command: &Command, events: &[Event], epoch: u64) {
+    pub(crate) fn record(&mut self, command: &Command, events: &[Event], epoch: Epoch) {
         self.record_subject(subject_of(command), epoch);
         if let Command::EvacuateZone(zone) | Command::ReinstateZone(zone) = command {
             self.record_zone(zone, epoch);
@@ -87,11 +87,11 @@
         }
     }
 
-    pub(crate) fn record_subject(&mut self, subject: Subject, epoch: u64) {
+    pub(crate) fn record_subject(&mut self, subject: Subject, epoch: Epoch) {
         self.subjects[subject as usize] = epoch;
     }
 
-    fn record_zone(&mut self, zone: &Name, epoch: u64) {
+    fn record_zone(&mut self, zone: &Name, epoch: Epoch) {
         self.record_subject(Subject::Zones, epoch);
         match self.zones.iter_mut().find(|change| change.zone == *zone) {
             Some(change) => change.epoch = epoch,
--- a/residency/src/lib.rs
+++ b/residency/src/lib.rs
@@ -25,7 +25,7 @@
 pub use json::{merge, parse_json, JsonError};
 pub use limits::{RequestLimits, ServiceLimits, TenantLimits};
 pub use mapping::{routing_key, Mapping};
-pub use name::Name;
+pub use name::{Epoch, Name};
 pub use proposal::{Outcome, Proposal};
 pub use state::{
     CommandError, KeyMove, ResolveError, RestoreError, ScheduledWindow, State, RECENT_PROPOSALS,
--- a/residency/src/mapping.rs
+++ b/residency/src/mapping.rs
@@ -1,7 +1,7 @@
 //! What a directory node answers to a lookup: where the requests of one routing key
 //! may go.
 
-use crate::Name;
+use crate::{Epoch, Name};
 use binrw::binrw;
 use consensus::codec::{read_list, read_string, write_list, write_string};
 
@@ -33,7 +33,7 @@
     /// For how long a cache may use it while no directory node answers.
     pub expire_ms: u64,
     /// The epoch of the state that it was resolved from.
-    pub epoch: u64,
+    pub epoch: Epoch,
 }
 
 impl Mapping {
--- a/residency/src/name.rs
+++ b/residency/src/name.rs
@@ -1,7 +1,12 @@
-//! Names of tenants, services, regions, zones, cells and engines.
+//! Names of tenants, services, regions, zones, cells and engines, and the epochs of states.
 
 use binrw::binrw;
 use consensus::codec::{read_string, write_string};
+use consensus::LogIndex;
+
+/// The index of the log entry that made a state, by which states and changes are told
+/// apart.
+pub type Epoch = LogIndex;
 
 /// A name as it lies in log entries, snapshots and frames: a counted UTF-8 string.
 #[binrw]
--- a/residency/src/proposal.rs
+++ b/residency/src/proposal.rs
@@ -1,6 +1,6 @@
 //! Proposals, the content of log entries, and what became of them.
 
-use crate::Command;
+use crate::{Command, Epoch};
 use binrw::binrw;
 use consensus::codec::{read_string, write_string};
 
@@ -16,7 +16,7 @@
     /// The epoch of the state that the command was built on: it is a conflict if its
     /// subject changed after that. 0 stands for any. Index 1 founds the cluster, so a
     /// command that is built on nothing has 1.
-    pub base_epoch: u64,
+    pub base_epoch: Epoch,
     /// The change.
     pub command: Command,
 }
@@ -30,19 +30,19 @@
     #[brw(magic = 0u8)]
     Applied {
         /// The index of its log entry.
-        epoch: u64,
+        epoch: Epoch,
     },
     /// It had been applied before; nothing changed now.
     #[brw(magic = 1u8)]
     Duplicate {
         /// The index of the log entry that applied it.
-        epoch: u64,
+        epoch: Epoch,
     },
     /// Its subject changed after the base; nothing changed. A retry needs a new base.
     #[brw(magic = 2u8)]
     Conflict {
         /// The epoch that last changed its subject.
-        epoch: u64,
+        epoch: Epoch,
     },
     /// It does not fit the state, for the reason given; nothing changed.
     #[brw(magic = 3u8)]
--- a/residency/src/state.rs
+++ b/residency/src/state.rs
@@ -19,7 +19,7 @@
 pub use scheduled_window::ScheduledWindow;
 
 use crate::last_changed::{LastChanged, Subject};
-use crate::{Command, ConfigDocument, Event, Name, Outcome, Proposal, Topology, View};
+use crate::{Command, ConfigDocument, Epoch, Event, Name, Outcome, Proposal, Topology, View};
 use binrw::binrw;
 use recent_proposals::RecentProposals;
 use simd_json::prelude::*;
@@ -97,7 +97,7 @@
 
 impl State {
     /// The index of the log entry that was applied last.
-    pub fn epoch(&self) -> u64 {
+    pub fn epoch(&self) -> Epoch {
         self.view.epoch
     }
 
@@ -133,7 +133,7 @@
 
     /// Applies a committed proposal, the log's entry `epoch`. Nothing changes unless the
     /// outcome is `Applied`.
-    pub fn apply(&mut self, epoch: u64, proposal: &Proposal) -> (Outcome, Vec<Event>) {
+    pub fn apply(&mut self, epoch: Epoch, proposal: &Proposal) -> (Outcome, Vec<Event>) {
         let events = match self.checked(proposal) {
             Ok(events) => events,
             Err(outcome) => return (outcome, Vec::new()),
--- a/residency/src/state/error.rs
+++ b/residency/src/state/error.rs
@@ -1,6 +1,6 @@
 //! Why a command, a lookup or a snapshot is refused.
 
-use crate::{DrainTarget, Event, JsonError, Name, TopologyErrors};
+use crate::{DrainTarget, Epoch, Event, JsonError, Name, TopologyErrors};
 
 /// The events that a command makes, or why it is rejected.
 pub(super) type Planned = Result<Vec<Event>, CommandError>;
@@ -15,7 +15,7 @@
         /// The id.
         id: String,
         /// The epoch of the other command.
-        epoch: u64,
+        epoch: Epoch,
     },
     /// The topology file is not JSON.
     #[error(transparent)]
--- a/residency/src/state/recent_proposals.rs
+++ b/residency/src/state/recent_proposals.rs
@@ -1,7 +1,7 @@
 //! The memory of applied proposals, so that a retry is recognised as a duplicate.
 
 use super::error::CommandError;
-use crate::{Command, Outcome, Proposal};
+use crate::{Command, Epoch, Outcome, Proposal};
 use binrw::binrw;
 use consensus::codec::{read_string, to_bytes, write_string};
 use std::collections::VecDeque;
@@ -20,7 +20,7 @@
     id: String,
     /// CRC-32 of the command, by which another command under the same id is noticed.
     command_crc: u32,
-    epoch: u64,
+    epoch: Epoch,
 }
 
 /// The remembered proposals, the oldest first.
@@ -48,7 +48,7 @@
     /// Remembers an applied proposal and forgets the oldest past the limit. Invariant:
     /// the proposal that made the topology in force, at the epoch `in_force`, is never
     /// forgotten, however many others came after it.
-    pub(super) fn remember(&mut self, proposal: &Proposal, epoch: u64, in_force: u64) {
+    pub(super) fn remember(&mut self, proposal: &Proposal, epoch: Epoch, in_force: Epoch) {
         self.0.push_back(RecentProposal {
             id: proposal.id.clone(),
             command_crc: crc(&proposal.command),
--- a/residency/src/state/snapshot.rs
+++ b/residency/src/state/snapshot.rs
@@ -5,7 +5,7 @@
 use super::scheduled_window::ScheduledWindow;
 use super::{Pin, State};
 use crate::last_changed::LastChanged;
-use crate::{parse_json, ConfigDocument, Event, Name, Topology, View};
+use crate::{parse_json, ConfigDocument, Epoch, Event, Name, Topology, View};
 use binrw::binrw;
 use consensus::codec::{from_bytes, read_list, to_bytes, write_list};
 use simd_json::prelude::*;
@@ -14,7 +14,7 @@
 #[binrw]
 #[brw(big)]
 struct StateSnapshot {
-    epoch: u64,
+    epoch: Epoch,
     last_changed: LastChanged,
     document: Name,
     #[br(parse_with = read_list)]
--- a/residency/src/view.rs
+++ b/residency/src/view.rs
@@ -2,8 +2,8 @@
 //! applied log entry.
 
 use crate::{
-    Cell, Engine, EngineState, Event, Name, RequestLimits, ServiceLimits, TenantKey, TenantLimits,
-    Zone,
+    Cell, Engine, EngineState, Epoch, Event, Name, RequestLimits, ServiceLimits, TenantKey,
+    TenantLimits, Zone,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 #[derive(Clone)]
 pub struct View {
     /// The index of the log entry that was applied last.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// The text of the routing rules.
     pub rules: String,
     /// The compiled routing rules.
--- a/residency/tests/state/commands.rs
+++ b/residency/tests/state/commands.rs
@@ -66,7 +66,7 @@
     assert!(matches!(based, Outcome::Applied { .. }));
     // A change of another subject in between is no conflict.
     let base_epoch = harness.epoch;
-    harness.must(add_engine("e-n3", "n-1", EngineState::Coming));
+    harness.must(add_engine("e-n3", "n-1", EngineState::Announced));
     let (based, _) = harness.submit("four", base_epoch, evacuate("n-a"));
     assert!(matches!(based, Outcome::Applied { .. }));
 }
