--- a/testbed/src/fleet/operator_request.rs
+++ b/testbed/src/fleet/operator_request.rs
@@ -29,7 +29,7 @@
         http_client::send_request(address, method, target, &[], body.into(), REQUEST_TIMEOUT);
     let (status, bytes) = response.await.map_err(|error| FleetError::Unreachable {
         address,
-        reason: format!("{:#}", anyhow::Error::from(error)),
+        reason: format!("{error:#}"),
     })?;
     let body = String::from_utf8_lossy(&bytes).into_owned();
     match residency::parse_json(&body) {
--- a/testbed/src/simulated_router.rs
+++ b/testbed/src/simulated_router.rs
@@ -1,7 +1,6 @@
-//! Hollow routers: many share a process, each with an address, a session and a
-//! state of its own, by the frames and the state machines of a real one. They
-//! have no doors and carry no jobs; the jobs whose quota they ask for are theirs
-//! alone.
+//! Simulated routers: many share a process, each with an address, a session and a state of
+//! its own, by the frames and the state machines of a real one. They have no clients and
+//! forward nothing; the requests whose quota they ask for are made up.
 
 use anyhow::{bail, ensure};
 use dispatch::quota::QuotaLimiter;
@@ -20,28 +19,34 @@
 const HEARTBEAT_MS: u64 = 350;
 /// Without a lease from a node for this long, the next one is tried.
 const LEASE_TIMEOUT_MS: u64 = 900;
-/// Jobs in a beat, of one tenant after the other: 34 a second, as many as 350
+/// Requests in a heartbeat, of one tenant after the other: 34 a second, as many as 350
 /// routers share of 12,000.
 const REQUESTS_PER_HEARTBEAT: usize = 12;
 
+/// Which simulated routers a process runs.
 pub struct Settings {
-    /// The number of the first of them, and how many they are.
+    /// The number of the first of them.
     pub first: usize,
+    /// How many they are.
     pub count: usize,
     /// The second octet of all their addresses.
     pub octet: u8,
+    /// Where they serve their figures.
     pub operator_address: SocketAddr,
+    /// Directory nodes.
     pub seeds: Vec<SocketAddr>,
-    /// Zones with their regions; routers stand in one after the other.
+    /// Zones with their regions; routers are in one after the other.
     pub zones: Vec<(String, String)>,
-    /// Of how many tenants each speaks.
+    /// How many tenants' quotas each asks for.
     pub tenants_per_router: usize,
+    /// How far quotas may be overrun.
     pub quota_tolerance: QuotaTolerance,
 }
 
 /// How many routers one octet has addresses for.
 pub const MAX_ADDRESSES: usize = 192 * 200;
 
+/// The address of a simulated router.
 pub fn address(octet: u8, number: usize) -> Ipv4Addr {
     Ipv4Addr::new(
         127,
@@ -72,7 +77,7 @@
     lease_valid: f64,
     leases: u64,
     sessions: u64,
-    /// Jobs so far.
+    /// Requests so far.
     requests: usize,
 }
 
@@ -108,16 +113,16 @@
         }
     }
 
-    /// Where to find a directory node, the nearest first, as a router has it.
+    /// Directory nodes' addresses, the nearest first, as a real router sorts them.
     fn directory_addresses(&self, settings: &Settings) -> Vec<SocketAddr> {
-        let mut ways: Vec<(u8, u32, SocketAddr)> = Vec::new();
+        let mut addresses: Vec<(u8, u32, SocketAddr)> = Vec::new();
         for member in self.membership.directory_nodes() {
             let far = match () {
                 _ if member.zone == self.zone_and_region.0 => 0,
                 _ if member.region == self.zone_and_region.1 => 1,
                 _ => 2,
             };
-            ways.extend(
+            addresses.extend(
                 member
                     .address
                     .parse()
@@ -125,9 +130,9 @@
                     .map(|at| (far, rand::random(), at)),
             );
         }
-        ways.extend(settings.seeds.iter().map(|seed| (3, rand::random(), *seed)));
-        ways.sort();
-        ways.into_iter().map(|(_, _, at)| at).collect()
+        addresses.extend(settings.seeds.iter().map(|seed| (3, rand::random(), *seed)));
+        addresses.sort();
+        addresses.into_iter().map(|(_, _, at)| at).collect()
     }
 
     fn record_epoch(&mut self) {
@@ -174,8 +179,8 @@
     }
 }
 
-/// Jobs of the tenants that a router speaks of, another part of all at each
-/// router: at first one of each, so that it speaks of all from then on.
+/// Asks for the quotas of a router's tenants, which are others at each router: at first for
+/// one request of each, so that all have demand from then on.
 fn admit_requests(router: &mut SimulatedRouter, tenants_per_router: usize) {
     let view = Arc::clone(router.replica.view());
     let (all, tenants_per_router) = (
@@ -203,12 +208,12 @@
         let admitted = router
             .quota
             .admit(&terms[at].tenant, of, routers, Duration::ZERO);
-        // With taps it is answered at once; what the answer is does not matter.
+        // With a lease it is answered at once; whether it is admitted does not matter.
         drop(poll_once(admitted));
     }
 }
 
-/// What a future gives that is ready as soon as it is asked.
+/// The output of a future that is ready when it is first polled.
 fn poll_once<F: std::future::Future>(future: F) -> Option<F::Output> {
     let mut future = std::pin::pin!(future);
     let mut context = std::task::Context::from_waker(std::task::Waker::noop());
@@ -221,7 +226,7 @@
 async fn run_session(
     router: &Mutex<SimulatedRouter>,
     settings: &Settings,
-    way: SocketAddr,
+    address: SocketAddr,
     reconnect: &mut watch::Receiver<u64>,
 ) -> anyhow::Result<()> {
     let (source, name) = {
@@ -230,7 +235,7 @@
         router.sessions += 1;
         (router.source, router.name.clone())
     };
-    let stream = link::dial(source, way, ConnectionKind::RouterSession, &name).await?;
+    let stream = link::dial(source, address, ConnectionKind::RouterSession, &name).await?;
     let (mut reader, mut writer) = stream.into_split();
     let beating = async {
         let mut beat = tokio::time::interval(Duration::from_millis(HEARTBEAT_MS));
@@ -279,14 +284,14 @@
     settings: Arc<Settings>,
     mut reconnect: watch::Receiver<u64>,
 ) {
-    // Not all at the same moment of the beat.
+    // Not all at the same moment of the heartbeat period.
     tokio::time::sleep(Duration::from_millis(rand::random_range(0..HEARTBEAT_MS))).await;
     loop {
-        let ways = router.lock().directory_addresses(&settings);
-        for way in ways {
+        let addresses = router.lock().directory_addresses(&settings);
+        for address in addresses {
             let before = router.lock().leases;
-            // Why it ended is of no use here: the next way is tried in any case.
-            drop(run_session(&router, &settings, way, &mut reconnect).await);
+            // However it ended, the next address is tried.
+            drop(run_session(&router, &settings, address, &mut reconnect).await);
             // A session that served begins the search anew, the nearest first.
             if router.lock().leases > before {
                 break;
@@ -296,7 +301,11 @@
     }
 }
 
-/// Runs them until the process is asked to stop, or whoever started it is gone.
+/// Runs the routers until the process is asked to stop, or the one that started it ends.
+///
+/// # Errors
+///
+/// Where the figures can't be served.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     let settings = Arc::new(settings);
     let (reconnect, told) = watch::channel(0u64);
@@ -318,7 +327,7 @@
     });
     let _desk = http_server::serve(settings.operator_address, 1 << 16, handler)?;
     let parent = std::thread::spawn(|| {
-        // Nothing is ever written there: it ends with whoever started this.
+        // Nothing is ever written there: it closes when the process that started this ends.
         drop(std::io::copy(&mut std::io::stdin(), &mut std::io::sink()));
     });
     let gone = async {
