--- a/residency/src/name.rs
+++ b/residency/src/name.rs
@@ -4,8 +4,7 @@
 use consensus::codec::{read_string, write_string};
 use consensus::LogIndex;
 
-/// The index of the log entry that made a state, by which states and changes are told
-/// apart.
+/// The index of the log entry that made a state. States and changes are compared by it.
 pub type Epoch = LogIndex;
 
 /// A name as it lies in log entries, snapshots and frames: a counted UTF-8 string.
--- a/residency/src/state/error.rs
+++ b/residency/src/state/error.rs
@@ -171,7 +171,7 @@
         service: String,
     },
     /// No permitted zone that is not evacuated has an engine for the service.
-    #[error("no place that {tenant} allows has an engine for {service} now")]
+    #[error("no region that {tenant} may use has an engine for {service} now")]
     NoPlace {
         /// The tenant.
         tenant: String,
@@ -181,7 +181,7 @@
 }
 
 impl ResolveError {
-    /// The code that clients get.
+    /// The code that clients get; an external format.
     pub fn code(&self) -> &'static str {
         match self {
             ResolveError::UnknownTenant => "unknown-tenant",
--- a/residency/src/state/resolve.rs
+++ b/residency/src/state/resolve.rs
@@ -11,7 +11,7 @@
     is_evacuated: bool,
     /// The cell of the operators' choice comes first.
     is_not_pinned: bool,
-    /// The place of its region among the permitted ones.
+    /// The rank of its region among the permitted ones, 0 first.
     region_rank: usize,
     /// Spreads keys over the cells of a region.
     hash: u32,
--- a/residency/tests/snapshot_size.rs
+++ b/residency/tests/snapshot_size.rs
@@ -1,10 +1,9 @@
-//! How large a snapshot of the state is, at the most that the platform's documents
-//! make of it.
+//! The size of a snapshot with the largest documents that the platform sends.
 
 use residency::{Command, ConfigDocument, Engine, EngineState, Outcome, Proposal, State};
 
 const DOCUMENT_BYTES: usize = 60_000;
-/// More than the state remembers.
+/// More than `RECENT_PROPOSALS`.
 const CHANGES: u64 = 5_000;
 const TENANTS: usize = 600;
 const ENGINES: u64 = 60;
@@ -49,13 +48,13 @@
     }
 }
 
-/// An id of the most characters that are taken.
+/// A proposal id of the greatest length that the operator API accepts.
 fn id(index: u64) -> String {
     format!("{index:064}")
 }
 
-/// Guards: bounded snapshots, however many changes there were, and a repeat is
-/// known as one on the other side of a snapshot, too.
+/// Guards: snapshots are bounded, however many changes there were, and a restored state
+/// recognises duplicates, too.
 #[test]
 fn a_snapshot_is_bounded_however_many_changes_there_were() {
     let mut state = State::default();
@@ -90,7 +89,7 @@
     assert!(largest < 1 << 20, "{largest} bytes");
 
     let restored = State::restore(&snapshot).expect("it is read back");
-    // The keys of the topology file have no order.
+    // The members of a JSON object have no order, so bytes may differ.
     assert_eq!(restored.snapshot().len(), snapshot.len());
     assert!(
         restored.view.snapshot() == state.view.snapshot(),
--- a/residency/tests/state/lookup.rs
+++ b/residency/tests/state/lookup.rs
@@ -37,7 +37,7 @@
     assert_eq!(
         harness.cells("ana", "south").len(),
         3,
-        "an evacuated spill cell keeps its place"
+        "an evacuated cell stays in the list"
     );
     harness.must(reinstate("s-a"));
     harness.must(evacuate("n-a"));
