--- a/placement/src/load/engine_load.rs
+++ b/placement/src/load/engine_load.rs
@@ -18,7 +18,7 @@
 /// Another process's load at an engine is believed for this long: more than twice
 /// `LOAD_REPEAT_MS`, so that one lost update changes nothing.
 const PEER_LOAD_MS: u64 = 1_500;
-/// A load that is unchanged is told again after this long.
+/// A load that is unchanged is sent again after this long.
 const LOAD_REPEAT_MS: u64 = 600;
 /// An engine that failed is passed over for this long, doubled with each failure in a row up
 /// to `MAX_SUSPECT_MS`, so that an engine that recovered does not stay idle for long.
@@ -54,19 +54,19 @@
     pub(super) prefill_tokens: f64,
 }
 
-/// What another process told of its requests at an engine.
+/// What another process reported of its requests at an engine.
 struct PeerLoad {
     requests: u32,
     prefill_tokens: f64,
-    told_at_ms: u64,
+    received_at_ms: u64,
 }
 
-/// What was last told to other processes of this one's requests.
+/// What was last sent to other processes of this one's requests.
 #[derive(Default)]
 struct AnnouncedLoad {
     requests: u32,
     prefill_tokens: u32,
-    told_at_ms: u64,
+    sent_at_ms: u64,
 }
 
 /// One engine. Invariants: `own_requests` counts the requests that this process has there
@@ -160,7 +160,7 @@
         };
         self.peer_loads
             .values()
-            .filter(|peer| now < peer.told_at_ms + PEER_LOAD_MS)
+            .filter(|peer| now < peer.received_at_ms + PEER_LOAD_MS)
             .fold(own, |sum, peer| TotalLoad {
                 requests: sum.requests + peer.requests,
                 prefill_tokens: sum.prefill_tokens + peer.prefill_tokens,
@@ -183,18 +183,18 @@
         self.failures > 0 && now >= self.suspect_until_ms
     }
 
-    /// This process's load, if it is to be told to others now.
+    /// This process's load, if it is to be sent to others now.
     pub(super) fn announce_load(&mut self, now: u64) -> Option<EngineLoad> {
         let (requests, prefill_tokens) = (self.own_requests, self.own_prefill_tokens as u32);
-        let told = &self.announced;
-        let is_same = (requests, prefill_tokens) == (told.requests, told.prefill_tokens);
-        if is_same && (requests == 0 || now < told.told_at_ms + LOAD_REPEAT_MS) {
+        let sent = &self.announced;
+        let is_same = (requests, prefill_tokens) == (sent.requests, sent.prefill_tokens);
+        if is_same && (requests == 0 || now < sent.sent_at_ms + LOAD_REPEAT_MS) {
             return None;
         }
         self.announced = AnnouncedLoad {
             requests,
             prefill_tokens,
-            told_at_ms: now,
+            sent_at_ms: now,
         };
         Some(EngineLoad {
             engine: self.engine.name.clone(),
@@ -203,14 +203,14 @@
         })
     }
 
-    /// Another process told its load.
+    /// Another process reported its load.
     pub(super) fn record_peer_load(&mut self, now: u64, peer: &str, load: &EngineLoad) {
         self.peer_loads
-            .retain(|_, known| now < known.told_at_ms + PEER_LOAD_MS);
+            .retain(|_, known| now < known.received_at_ms + PEER_LOAD_MS);
         let load = PeerLoad {
             requests: load.requests,
             prefill_tokens: f64::from(load.prefill_tokens),
-            told_at_ms: now,
+            received_at_ms: now,
         };
         self.peer_loads.insert(peer.to_string(), load);
     }
--- a/placement/src/load/estimator.rs
+++ b/placement/src/load/estimator.rs
@@ -49,7 +49,7 @@
 }
 
 /// The engines as one process knows them: their configuration from the view, their load and
-/// health from this process's requests, their responses, and what other processes tell.
+/// health from this process's requests, their responses, and what other processes report.
 #[derive(Default)]
 pub struct EngineLoadEstimator {
     engines: BTreeMap<String, TrackedEngine>,
@@ -171,7 +171,7 @@
         })
     }
 
-    /// What is to be told to other processes now.
+    /// What is to be sent to other processes now.
     pub fn take_load_update(&mut self, now: u64) -> LoadUpdate {
         let engines = self.engines.values_mut();
         LoadUpdate {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Takes over what the process `from` tells.
+    /// Takes over what the process `from` reports.
     pub fn apply_load_update(&mut self, now: u64, from: &str, update: &LoadUpdate) {
         for load in &update.loads {
             if let Some(tracked) = self.engines.get_mut(&load.engine) {
--- a/placement/tests/common/mod.rs
+++ b/placement/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Helpers of several test files.
+//! Helpers of several test files; each of them uses a part.
+#![allow(dead_code)]
 
 /// Pseudo-random numbers from a seed, each below the bound that is asked for (xorshift64).
 pub fn draws(seed: u64) -> impl FnMut(u64) -> u64 {
@@ -10,3 +11,20 @@
         (seed >> 11) % below.max(1)
     }
 }
+
+/// A message between a router and the leader, under way in virtual time.
+pub struct InFlight<T> {
+    pub arrives_at_ms: u64,
+    /// The router that sent it, or that it is for.
+    pub router: usize,
+    /// When the router sent the heartbeat that the message is, or answers.
+    pub asked_at_ms: u64,
+    pub message: T,
+}
+
+/// Takes those out of a list that a condition holds for; both keep their order.
+pub fn take_where<T>(list: &mut Vec<T>, is_taken: impl FnMut(&T) -> bool) -> Vec<T> {
+    let (taken, kept) = std::mem::take(list).into_iter().partition(is_taken);
+    *list = kept;
+    taken
+}
--- a/placement/tests/engine_health_tracker.rs
+++ b/placement/tests/engine_health_tracker.rs
@@ -48,24 +48,23 @@
     }
 }
 
-/// A cold engine as it really is: jobs by when they end.
-struct Cold {
-    born: u64,
-    jobs: Vec<u64>,
+/// An engine that is warming up, as it really is: when its requests end.
+struct WarmingEngine {
+    started_at_ms: u64,
+    requests: Vec<u64>,
     completed: u32,
 }
 
-struct Flood {
-    most_over: i64,
-    refused: u32,
-    begun: u32,
-    warm_at: Option<u64>,
+struct CrowdResult {
+    max_excess: i64,
+    rejected: u32,
+    started: u32,
+    warmed_up_after_ms: Option<u64>,
 }
 
-/// A crowd of callers at `routers`, each of which knows the engines by
-/// vitals that come to it at its own moments, a while late; jobs reach the
-/// engine a while late, too.
-fn crowd(routers: usize, engines: usize, seed: u64) -> Flood {
+/// Many clients send to `routers`, each of which knows the engines by reports that it
+/// receives at its own times, late; requests reach the engine late, too.
+fn run_crowd(routers: usize, engines: usize, seed: u64) -> CrowdResult {
     let mut draw = draws(seed);
     let (view, mapping) = (view(engines), mapping());
     let peers: Vec<u64> = (0..routers as u64).map(|at| rank(7, at)).collect();
@@ -75,76 +74,76 @@
     fleet
         .iter_mut()
         .for_each(|known| drop(known.apply_view(0, &view)));
-    let mut cold: Vec<Cold> = (0..engines)
-        .map(|_| Cold {
-            born: draw(5_000),
-            jobs: Vec::new(),
+    let mut engines_now: Vec<WarmingEngine> = (0..engines)
+        .map(|_| WarmingEngine {
+            started_at_ms: draw(5_000),
+            requests: Vec::new(),
             completed: 0,
         })
         .collect();
-    let mut lines: Vec<(u64, usize, usize, HealthReport)> = Vec::new();
-    let mut sent: Vec<(u64, usize, u64)> = Vec::new();
-    let mut held: Vec<(u64, usize, usize)> = Vec::new();
-    let mut flood = Flood {
-        most_over: i64::MIN,
-        refused: 0,
-        begun: 0,
-        warm_at: None,
+    let mut reports: Vec<(u64, usize, usize, HealthReport)> = Vec::new();
+    let mut under_way: Vec<(u64, usize, u64)> = Vec::new();
+    let mut in_flight: Vec<(u64, usize, usize)> = Vec::new();
+    let mut result = CrowdResult {
+        max_excess: i64::MIN,
+        rejected: 0,
+        started: 0,
+        warmed_up_after_ms: None,
     };
     let phases: Vec<u64> = (0..routers * engines).map(|_| draw(100)).collect();
     for now in 10_000..30_000u64 {
-        for (at, engine) in cold.iter_mut().enumerate() {
-            let before = engine.jobs.len();
-            engine.jobs.retain(|end| *end > now);
-            engine.completed += (before - engine.jobs.len()) as u32;
-            let (come, later): (Vec<_>, Vec<_>) = sent
+        for (at, engine) in engines_now.iter_mut().enumerate() {
+            let before = engine.requests.len();
+            engine.requests.retain(|end| *end > now);
+            engine.completed += (before - engine.requests.len()) as u32;
+            let (come, later): (Vec<_>, Vec<_>) = under_way
                 .drain(..)
                 .partition(|(due, to, _)| *due <= now && *to == at);
-            sent = later;
+            under_way = later;
             engine
-                .jobs
+                .requests
                 .extend(come.into_iter().map(|(_, _, takes)| now + takes));
             let limit = SlowStart::after_responses(engine.completed).limit(7);
             if limit < 7 {
-                flood.most_over = flood
-                    .most_over
-                    .max(engine.jobs.len() as i64 - i64::from(limit));
+                result.max_excess = result
+                    .max_excess
+                    .max(engine.requests.len() as i64 - i64::from(limit));
             }
             for router in 0..routers {
                 if (now + phases[router * engines + at]).is_multiple_of(100) {
-                    let vitals = HealthReport {
-                        running: engine.jobs.len() as u32,
+                    let report = HealthReport {
+                        running: engine.requests.len() as u32,
                         queued: 0,
                         slots: 8,
                         is_warm: engine.completed >= 24,
                         is_draining: false,
                         completed: engine.completed,
-                        uptime_ms: now - engine.born,
+                        uptime_ms: now - engine.started_at_ms,
                         received_at_ms: 0,
                     };
-                    lines.push((now + 1 + draw(40), router, at, vitals));
+                    reports.push((now + 1 + draw(40), router, at, report));
                 }
             }
         }
-        let (come, later): (Vec<_>, Vec<_>) = lines.into_iter().partition(|line| line.0 <= now);
-        lines = later;
-        for (_, router, at, vitals) in come {
+        let (come, later): (Vec<_>, Vec<_>) = reports.into_iter().partition(|line| line.0 <= now);
+        reports = later;
+        for (_, router, at, report) in come {
             fleet[router].record_report(
                 now,
                 &format!("engine-{at}"),
                 HealthReport {
                     received_at_ms: now,
-                    ..vitals
+                    ..report
                 },
             );
         }
-        held.retain(|(until, router, at)| {
+        in_flight.retain(|(until, router, at)| {
             if *until <= now {
                 fleet[*router].release(&format!("engine-{at}"));
             }
             *until > now
         });
-        // Three jobs every millisecond want an engine.
+        // Three requests arrive every millisecond.
         for _ in 0..3 {
             let router = draw(routers as u64) as usize;
             let prefix = draw(u64::MAX);
@@ -152,33 +151,39 @@
                 EngineSelection::Selected(SelectedEngine { name, .. }) => {
                     let at = name["engine-".len()..].parse().expect("its number");
                     let (way, takes) = (1 + draw(60), 50 + draw(900));
-                    sent.push((now + way, at, takes));
-                    held.push((now + way + takes, router, at));
-                    flood.begun += 1;
+                    under_way.push((now + way, at, takes));
+                    in_flight.push((now + way + takes, router, at));
+                    result.started += 1;
                 }
-                _ => flood.refused += 1,
+                _ => result.rejected += 1,
             }
         }
-        if flood.warm_at.is_none() && cold.iter().all(|engine| engine.completed >= 24) {
-            flood.warm_at = Some(now - 10_000);
+        if result.warmed_up_after_ms.is_none()
+            && engines_now.iter().all(|engine| engine.completed >= 24)
+        {
+            result.warmed_up_after_ms = Some(now - 10_000);
         }
     }
-    flood
+    result
 }
 
-/// Guards: an engine coming back cold is not flooded before it has warmed
-/// up, however many processes there are, with one engine cold or all.
+/// Guards: an engine that restarted gets no more than its slow-start limit until it has
+/// warmed up, however many routers there are, with one engine warming up or all.
 #[test]
 fn engines_keep_their_slow_start_limit_over_a_fleet() {
     for (routers, engines) in [(1, 1), (9, 1), (9, 4), (14, 9)] {
         for seed in 0..6 {
-            let flood = crowd(routers, engines, seed);
+            let result = run_crowd(routers, engines, seed);
             let what = format!("{routers} routers, {engines} engines, seed {seed}");
-            assert!(flood.most_over <= 0, "{what}: {} too many", flood.most_over);
             assert!(
-                flood.warm_at.is_some_and(|at| at < 16_000),
+                result.max_excess <= 0,
+                "{what}: {} too many",
+                result.max_excess
+            );
+            assert!(
+                result.warmed_up_after_ms.is_some_and(|at| at < 16_000),
                 "{what}: {:?}",
-                flood.warm_at
+                result.warmed_up_after_ms
             );
         }
     }
--- a/placement/tests/engine_load_estimator.rs
+++ b/placement/tests/engine_load_estimator.rs
@@ -1,4 +1,4 @@
-//! Electing by answers alone: where a job goes, and what cold engines get.
+//! Selection by estimated load: where a request goes, and what engines that are warming up get.
 
 use placement::{
     EngineLoadEstimator, EngineSelection, LoadUpdate, PrefillEstimate, SelectedEngine,
@@ -39,13 +39,13 @@
         zones: vec![zone("north-a", "north"), zone("south-a", "south")],
         cells: vec![cell("north-a", "north-a"), cell("south-a", "south-a")],
     });
-    let traits = ServiceLimits {
+    let limits = ServiceLimits {
         service: SERVICE.into(),
         max_connections: 0,
         warm_up_requests_per_s: 17,
         warm_up_ms: 3_000,
     };
-    view.apply(&Event::Services(vec![traits]));
+    view.apply(&Event::Services(vec![limits]));
     engines
         .iter()
         .for_each(|engine| view.apply(&Event::EngineUpdated(engine.clone())));
@@ -82,8 +82,8 @@
     }
 }
 
-fn chosen(
-    estimates: &mut EngineLoadEstimator,
+fn select(
+    estimator: &mut EngineLoadEstimator,
     now: u64,
     view: &View,
     prompt: &Prompt,
@@ -94,7 +94,7 @@
         prefix: prompt.shared_prefix_hash(),
         tried,
     };
-    match estimates.select(now, view, &mapping(), &wanted, 1, &[1]) {
+    match estimator.select(now, view, &mapping(), &wanted, 1, &[1]) {
         EngineSelection::Selected(SelectedEngine { name, .. }) => Some(name),
         _ => None,
     }
@@ -108,28 +108,28 @@
         engine("c", "north-a", 0),
         engine("far", "south-a", 0),
     ]);
-    let mut estimates = EngineLoadEstimator::default();
-    estimates.apply_view(1_000, &view);
-    let first = chosen(&mut estimates, 1_000, &view, &prompt(7, 1), &[]).expect("all are free");
+    let mut estimator = EngineLoadEstimator::default();
+    estimator.apply_view(1_000, &view);
+    let first = select(&mut estimator, 1_000, &view, &prompt(7, 1), &[]).expect("all are free");
     assert_ne!(first, "far", "the own region goes first");
     let PrefillEstimate {
         expected_ms,
         tokens,
-    } = estimates.record_send(1_000, &first, &prompt(7, 1));
+    } = estimator.record_send(1_000, &first, &prompt(7, 1));
     assert!(expected_ms > 50.0 && tokens == 11_000.0);
-    estimates.finish_prefill(&first, tokens);
-    estimates.record_first_event(1_100, &first, expected_ms, 100);
-    estimates.release(&first);
-    // Again with what it keeps, for as long as it is not busy.
-    let second = chosen(&mut estimates, 1_200, &view, &prompt(7, 2), &[]).expect("one is free");
+    estimator.finish_prefill(&first, tokens);
+    estimator.record_first_event(1_100, &first, expected_ms, 100);
+    estimator.release(&first);
+    // Again to the engine that caches the prefix, as long as it is not busy.
+    let second = select(&mut estimator, 1_200, &view, &prompt(7, 2), &[]).expect("one is free");
     assert_eq!(second, first);
     for own in 0..6 {
-        estimates.record_send(1_200, &first, &prompt(9, 100 + own));
+        estimator.record_send(1_200, &first, &prompt(9, 100 + own));
     }
-    let third = chosen(&mut estimates, 1_200, &view, &prompt(7, 3), &[]).expect("two are free");
+    let third = select(&mut estimator, 1_200, &view, &prompt(7, 3), &[]).expect("two are free");
     assert_ne!(
         third, first,
-        "a long queue of prompts outweighs what is kept"
+        "a long queue of prompts outweighs a cached prefix"
     );
     assert_ne!(third, "far");
 }
@@ -137,49 +137,49 @@
 #[test]
 fn engines_that_failed_or_were_full_are_selected_last() {
     let view = view(&[engine("a", "north-a", 0), engine("b", "north-a", 0)]);
-    let mut estimates = EngineLoadEstimator::default();
-    estimates.apply_view(1_000, &view);
-    let (none, job) = (Vec::new(), prompt(3, 1));
-    estimates.record_failure(1_000, "a");
+    let mut estimator = EngineLoadEstimator::default();
+    estimator.apply_view(1_000, &view);
+    let (none, request) = (Vec::new(), prompt(3, 1));
+    estimator.record_failure(1_000, "a");
     assert_eq!(
-        chosen(&mut estimates, 1_001, &view, &job, &none).as_deref(),
+        select(&mut estimator, 1_001, &view, &request, &none).as_deref(),
         Some("b")
     );
-    estimates.record_not_run(1_001, "b");
-    let last = chosen(&mut estimates, 1_002, &view, &job, &none);
+    estimator.record_not_run(1_001, "b");
+    let last = select(&mut estimator, 1_002, &view, &request, &none);
     assert!(
         last.is_some(),
         "one of the suspects is better than a refusal"
     );
-    let been = vec!["a".to_string(), "b".to_string()];
-    assert_eq!(chosen(&mut estimates, 1_002, &view, &job, &been), None);
-    // When its time has come it is looked at, and gets work when it was reached.
-    assert!(estimates.due_probes(1_100).is_empty(), "not yet");
-    let due = estimates.due_probes(3_000);
+    let tried = vec!["a".to_string(), "b".to_string()];
+    assert_eq!(select(&mut estimator, 1_002, &view, &request, &tried), None);
+    // It is probed when its time has come, and gets requests once a probe has reached it.
+    assert!(estimator.due_probes(1_100).is_empty(), "not yet");
+    let due = estimator.due_probes(3_000);
     assert_eq!(
         due.len(),
         1,
         "the one that failed, not the one that was full"
     );
-    estimates.record_probe_success("a");
-    assert!(estimates.due_probes(3_001).is_empty());
-    // A life that ended is another engine; nothing of it is carried over.
+    estimator.record_probe_success("a");
+    assert!(estimator.due_probes(3_001).is_empty());
+    // An engine that restarted is another engine; nothing is carried over.
     let mut next = view.clone();
     next.apply(&Event::EngineRemoved(Name("a".into())));
     next.apply(&Event::EngineUpdated(engine("a2", "north-a", 0)));
-    assert_eq!(estimates.apply_view(1_010, &next), vec!["a".to_string()]);
+    assert_eq!(estimator.apply_view(1_010, &next), vec!["a".to_string()]);
     assert_eq!(
-        chosen(&mut estimates, 1_011, &next, &job, &none).as_deref(),
+        select(&mut estimator, 1_011, &next, &request, &none).as_deref(),
         Some("a2")
     );
 }
 
-/// Guards: a cold engine is not flooded, summed over all routers. Every router
-/// wants to begin work there all the time; some see a few routers more or fewer.
+/// Guards: an engine that warms up gets no more than its warm-up rate from all routers
+/// together. Every router has requests for it all the time; some see a few routers fewer.
 #[test]
 fn engines_keep_their_warm_up_rate_over_a_fleet() {
     for (fleet, differ) in [(1usize, 0usize), (9, 1), (74, 4)] {
-        let cold = view(&[engine("a", "north-a", 3_000)]);
+        let view = view(&[engine("a", "north-a", 3_000)]);
         let peers: Vec<u64> = (1..=fleet as u64)
             .map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
             .collect();
@@ -187,28 +187,32 @@
             (0..fleet).map(|_| EngineLoadEstimator::default()).collect();
         routers
             .iter_mut()
-            .for_each(|router| drop(router.apply_view(10_000, &cold)));
-        let mut begun: Vec<u64> = Vec::new();
-        let job = prompt(5, 1);
+            .for_each(|router| drop(router.apply_view(10_000, &view)));
+        let mut started: Vec<u64> = Vec::new();
+        let request = prompt(5, 1);
         for now in 10_000..13_000u64 {
             for (at, router) in routers.iter_mut().enumerate() {
-                // Not all have heard of the newest routers.
+                // Not all know of the newest routers.
                 let known = &peers[..fleet - if at % 2 == 0 { differ } else { 0 }];
                 let wanted = SelectionRequest {
-                    prompt: &job,
+                    prompt: &request,
                     prefix: 5,
                     tried: &[],
                 };
-                let chosen = router.select(now, &cold, &mapping(), &wanted, peers[at], known);
-                if matches!(chosen, EngineSelection::Selected(_)) {
+                let selection = router.select(now, &view, &mapping(), &wanted, peers[at], known);
+                if matches!(selection, EngineSelection::Selected(_)) {
                     router.release("a");
-                    begun.push(now);
+                    started.push(now);
                 }
             }
         }
-        assert!(begun.len() >= 30, "{fleet}: it gets work: {}", begun.len());
-        for (n, from) in begun.iter().enumerate() {
-            let within = begun[n..]
+        assert!(
+            started.len() >= 30,
+            "{fleet}: it gets work: {}",
+            started.len()
+        );
+        for (n, from) in started.iter().enumerate() {
+            let within = started[n..]
                 .iter()
                 .take_while(|at| **at < from + 1_000)
                 .count();
@@ -217,24 +221,24 @@
     }
 }
 
-/// A zone that is given back may have gone cold; the list may not say so yet.
+/// The engines of a zone that is reinstated may have gone cold; the list may not say so yet.
 #[test]
 fn engines_of_a_reinstated_zone_warm_up_again() {
     let mut seen = view(&[engine("a", "north-a", 0)]);
-    let mut estimates = EngineLoadEstimator::default();
-    estimates.apply_view(1_000, &seen);
+    let mut estimator = EngineLoadEstimator::default();
+    estimator.apply_view(1_000, &seen);
     seen.apply(&Event::ZoneEvacuated("north-a".into()));
-    estimates.apply_view(2_000, &seen);
+    estimator.apply_view(2_000, &seen);
     seen.apply(&Event::ZoneReinstated("north-a".into()));
-    estimates.apply_view(9_000, &seen);
-    let job = prompt(5, 1);
+    estimator.apply_view(9_000, &seen);
+    let request = prompt(5, 1);
     let many = (0..100).filter(|_| {
-        chosen(&mut estimates, 9_001, &seen, &job, &[])
-            .map(|name| estimates.release(&name))
+        select(&mut estimator, 9_001, &seen, &request, &[])
+            .map(|name| estimator.release(&name))
             .is_some()
     });
     assert_eq!(many.count(), 1, "one at a time");
-    assert!(chosen(&mut estimates, 12_100, &seen, &job, &[]).is_some());
+    assert!(select(&mut estimator, 12_100, &seen, &request, &[]).is_some());
 }
 
 fn load(engine: &str, requests: u32, prefill_tokens: u32) -> EngineLoad {
@@ -252,8 +256,8 @@
     }
 }
 
-/// What routers tell each other: a job goes past an engine that another router has
-/// filled, and to one that another router has warmed.
+/// What routers tell each other: a request goes past an engine that another router has
+/// filled, and to one whose cache another router has filled.
 #[test]
 fn load_and_cached_prefixes_of_other_routers_count() {
     let view = view(&[
@@ -261,41 +265,42 @@
         engine("b", "north-a", 0),
         engine("far", "south-a", 0),
     ]);
-    let (mut one, mut two) = (
+    let (mut first_router, mut second_router) = (
         EngineLoadEstimator::default(),
         EngineLoadEstimator::default(),
     );
-    one.apply_view(1_000, &view);
-    two.apply_view(1_000, &view);
-    let first = chosen(&mut one, 1_000, &view, &prompt(7, 1), &[]).expect("all are free");
+    first_router.apply_view(1_000, &view);
+    second_router.apply_view(1_000, &view);
+    let first = select(&mut first_router, 1_000, &view, &prompt(7, 1), &[]).expect("all are free");
     let PrefillEstimate {
         expected_ms,
         tokens,
-    } = one.record_send(1_000, &first, &prompt(7, 1));
-    let news = one.take_load_update(1_010);
-    assert_eq!(news.loads, vec![load(&first, 1, 11_000)]);
+    } = first_router.record_send(1_000, &first, &prompt(7, 1));
+    let update = first_router.take_load_update(1_010);
+    assert_eq!(update.loads, vec![load(&first, 1, 11_000)]);
     assert_eq!(
-        news.cached_prefixes,
+        update.cached_prefixes,
         vec![cached(&first, 7)],
-        "the shared part, not the job's own"
+        "the shared prefix, not the request's own part"
     );
-    assert!(one.take_load_update(1_020).is_empty(), "said once");
-    two.apply_load_update(1_030, "one", &news);
+    assert!(first_router.take_load_update(1_020).is_empty(), "sent once");
+    second_router.apply_load_update(1_030, "one", &update);
     // Reading 11,000 tokens there takes a tenth of a second, less than what reading
     // the shared part again would cost.
-    let warm = chosen(&mut two, 1_040, &view, &prompt(7, 2), &[]).expect("all are free");
+    let warm = select(&mut second_router, 1_040, &view, &prompt(7, 2), &[]).expect("all are free");
     assert_eq!(warm, first);
-    let other = chosen(&mut two, 1_040, &view, &prompt(99, 2), &[]).expect("all are free");
+    let other =
+        select(&mut second_router, 1_040, &view, &prompt(99, 2), &[]).expect("all are free");
     assert_ne!(
         other, first,
-        "what has nothing kept there goes past the queue"
+        "a request without a cached prefix goes past the queue"
     );
-    one.finish_prefill(&first, tokens);
-    one.record_first_event(1_100, &first, expected_ms, 100);
-    one.release(&first);
-    let news = one.take_load_update(1_110);
-    assert_eq!(news.loads, vec![load(&first, 0, 0)]);
-    // A part that is kept far away alone is worth the way.
+    first_router.finish_prefill(&first, tokens);
+    first_router.record_first_event(1_100, &first, expected_ms, 100);
+    first_router.release(&first);
+    let update = first_router.take_load_update(1_110);
+    assert_eq!(update.loads, vec![load(&first, 0, 0)]);
+    // A prefix that is cached in another region alone is worth the way.
     let mut far = EngineLoadEstimator::default();
     far.apply_view(1_000, &view);
     far.apply_load_update(
@@ -307,10 +312,13 @@
         },
     );
     assert_eq!(
-        chosen(&mut far, 1_010, &view, &prompt(7, 3), &[]).as_deref(),
+        select(&mut far, 1_010, &view, &prompt(7, 3), &[]).as_deref(),
         Some("far")
     );
     let long = 1_000 + 30_000;
-    let near = chosen(&mut far, long, &view, &prompt(7, 3), &[]).expect("all are free");
-    assert_ne!(near, "far", "what was not told of again is taken for lost");
+    let near = select(&mut far, long, &view, &prompt(7, 3), &[]).expect("all are free");
+    assert_ne!(
+        near, "far",
+        "a prefix that was not sent again counts as evicted"
+    );
 }
--- a/placement/tests/queueing_quota.rs
+++ b/placement/tests/queueing_quota.rs
@@ -2,11 +2,19 @@
 
 mod common;
 
-use common::draws;
+use common::{draws, take_where, InFlight};
 use placement::{AdmissionDecision, QueueingRateLimiter, RateLimit, TokenAllocator};
 use protocol::{RouterDemand, RouterGrants, LEASE_MS};
 
-const PATIENCE: u64 = 2_500;
+const PATIENCE_MS: u64 = 2_500;
+const STEP_MS: u64 = 5;
+const BEGIN_MS: u64 = 1_000;
+const END_MS: u64 = 33_000;
+const HEARTBEAT_MS: u64 = 350;
+/// A heartbeat is sent this much earlier while a request waits.
+const URGENT_MS: u64 = 300;
+/// When the fault happens, if there is one.
+const FAULT_MS: u64 = 12_000;
 
 fn quota(requests_per_s: u64, burst: u64) -> RateLimit {
     RateLimit {
@@ -15,188 +23,288 @@
     }
 }
 
-/// What befalls a run, besides its traffic.
+/// What happens in a run, besides its traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// Nobody leads for 1.2 s, then another one does.
+    /// There is no leader for 1.2 s, then another one.
     Leader,
-    /// A router is lost with all that it had, and comes back blank.
+    /// A router's process is lost with its state, and another one starts.
     Router,
-    /// A router does nothing for 3 s, and wakes; nobody calls it meanwhile.
-    Frozen,
-    /// Every third answer is lost, every fifth beat is heard twice.
+    /// A router is paused for 3 s; no client sends to it meanwhile.
+    Paused,
+    /// Every third answer is lost, every fifth heartbeat is received twice.
     Losses,
 }
 
-struct Job {
-    came: u64,
+struct QueuedRequest {
+    arrived_at_ms: u64,
     router: usize,
     ticket: u64,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct RunResult {
+    /// When requests were admitted.
     admitted: Vec<u64>,
-    refused: u64,
-    longest_wait: u64,
+    rejected: u64,
+    longest_wait_ms: u64,
 }
 
-/// A fleet of routers and a leader in virtual time; `each` says the time
-/// until the next job, in microseconds.
+struct SimulatedRouter {
+    limiter: QueueingRateLimiter,
+    heartbeat: u64,
+    next_heartbeat_at_ms: u64,
+}
+
+/// A fleet of routers and a leader.
+struct Simulation<D> {
+    draw: D,
+    fault: Fault,
+    limit: RateLimit,
+    now: u64,
+    routers: Vec<SimulatedRouter>,
+    allocator: Option<TokenAllocator>,
+    to_leader: Vec<InFlight<RouterDemand>>,
+    to_routers: Vec<InFlight<RouterGrants>>,
+    queue: Vec<QueuedRequest>,
+    /// Heartbeats that the leader answered.
+    answered: u64,
+    next_arrival_at_us: u64,
+    result: RunResult,
+}
+
+/// Runs a fleet; `interval_us` gives the time until the next request.
 fn run(
     routers: usize,
     limit: RateLimit,
-    each: impl Fn(u64) -> u64,
+    interval_us: impl Fn(u64) -> u64,
     fault: Fault,
     seed: u64,
-) -> Seen {
-    let mut draw = draws(seed);
-    let mut fleet: Vec<QueueingRateLimiter> = (0..routers)
-        .map(|at| QueueingRateLimiter::new(0, at as u64 + 1))
-        .collect();
-    let mut paces = Some(TokenAllocator::new(1_000));
-    let mut beats: Vec<(u64, u64)> = (0..routers).map(|_| (1_000 + draw(350), 0)).collect();
-    let mut up: Vec<(u64, usize, u64, RouterDemand)> = Vec::new();
-    let mut down: Vec<(u64, usize, u64, RouterGrants)> = Vec::new();
-    let mut queue: Vec<Job> = Vec::new();
-    let mut seen = Seen::default();
-    let (mut due, mut said) = (3_000_000, 0u64);
-    for now in (1_000..33_000u64).step_by(5) {
-        if now == 12_000 && fault == Fault::Leader {
-            paces = None;
-        }
-        if now == 13_200 && fault == Fault::Leader {
-            paces = Some(TokenAllocator::new(now));
-        }
-        let is_frozen = |router: usize| {
-            router == 0 && fault == Fault::Frozen && (12_000..15_000).contains(&now)
+) -> RunResult {
+    let mut simulation = Simulation::new(routers, limit, fault, draws(seed));
+    for now in (BEGIN_MS..END_MS).step_by(STEP_MS as usize) {
+        simulation.now = now;
+        simulation.cause_fault();
+        simulation.send_heartbeats();
+        simulation.answer_heartbeats();
+        simulation.deliver_answers();
+        simulation.decide_queued_requests();
+        simulation.receive_requests(&interval_us);
+    }
+    simulation.result
+}
+
+impl<D: FnMut(u64) -> u64> Simulation<D> {
+    fn new(routers: usize, limit: RateLimit, fault: Fault, mut draw: D) -> Simulation<D> {
+        let router = |at: usize| SimulatedRouter {
+            limiter: QueueingRateLimiter::new(0, at as u64 + 1),
+            heartbeat: 0,
+            next_heartbeat_at_ms: BEGIN_MS + draw(HEARTBEAT_MS),
         };
-        if now == 12_000 && fault == Fault::Router {
-            fleet[0] = QueueingRateLimiter::new(now, 99);
-            // Its connections end with it.
-            up.retain(|(_, router, ..)| *router != 0);
-            down.retain(|(_, router, ..)| *router != 0);
-            queue.retain(|job| job.router != 0);
+        let routers = (0..routers).map(router).collect();
+        Simulation {
+            draw,
+            fault,
+            limit,
+            now: 0,
+            routers,
+            allocator: Some(TokenAllocator::new(BEGIN_MS)),
+            to_leader: Vec::new(),
+            to_routers: Vec::new(),
+            queue: Vec::new(),
+            answered: 0,
+            next_arrival_at_us: 3_000_000,
+            result: RunResult::default(),
         }
-        for (router, meters) in fleet
-            .iter_mut()
-            .enumerate()
-            .filter(|(at, _)| !is_frozen(*at))
-        {
-            let (next, number) = &mut beats[router];
-            let is_due = now >= *next || meters.has_queued_requests() && now + 300 >= *next;
+    }
+
+    fn cause_fault(&mut self) {
+        let now = self.now;
+        match self.fault {
+            Fault::Leader if now == FAULT_MS => self.allocator = None,
+            Fault::Leader if now == FAULT_MS + 1_200 => {
+                self.allocator = Some(TokenAllocator::new(now));
+            }
+            Fault::Router if now == FAULT_MS => {
+                self.routers[0].limiter = QueueingRateLimiter::new(now, 99);
+                // Its connections end with it.
+                self.to_leader.retain(|sent| sent.router != 0);
+                self.to_routers.retain(|sent| sent.router != 0);
+                self.queue.retain(|request| request.router != 0);
+            }
+            _ => {}
+        }
+    }
+
+    fn is_paused(&self, router: usize) -> bool {
+        let pause = FAULT_MS..FAULT_MS + 3_000;
+        router == 0 && self.fault == Fault::Paused && pause.contains(&self.now)
+    }
+
+    fn send_heartbeats(&mut self) {
+        let now = self.now;
+        for at in 0..self.routers.len() {
+            if self.is_paused(at) {
+                continue;
+            }
+            let router = &mut self.routers[at];
+            let is_urgent = router.limiter.has_queued_requests();
+            let is_due = now >= router.next_heartbeat_at_ms
+                || is_urgent && now + URGENT_MS >= router.next_heartbeat_at_ms;
             if is_due {
-                *number += 1;
-                *next = now + 350;
-                let demand = meters.demand(now, &format!("router-{router}"), *number);
-                up.push((now + 1 + draw(30), router, now, demand));
+                router.heartbeat += 1;
+                router.next_heartbeat_at_ms = now + HEARTBEAT_MS;
+                let name = format!("router-{at}");
+                let demand = router.limiter.demand(now, &name, router.heartbeat);
+                self.to_leader.push(InFlight {
+                    arrives_at_ms: now + 1 + (self.draw)(30),
+                    router: at,
+                    asked_at_ms: now,
+                    message: demand,
+                });
             }
         }
-        let (come, later): (Vec<_>, Vec<_>) = up.into_iter().partition(|(at, ..)| *at <= now);
-        up = later;
-        for (_, router, asked, demand) in come {
-            let Some(paces) = &mut paces else {
-                // Asked again, while it is of any use.
-                if now < asked + LEASE_MS {
-                    up.push((now + 40, router, asked, demand));
+    }
+
+    fn answer_heartbeats(&mut self) {
+        let (now, limit) = (self.now, self.limit);
+        for arrived in take_where(&mut self.to_leader, |sent| sent.arrives_at_ms <= now) {
+            let Some(allocator) = &mut self.allocator else {
+                // Sent again, while an answer is of any use.
+                if now < arrived.asked_at_ms + LEASE_MS {
+                    self.to_leader.push(InFlight {
+                        arrives_at_ms: now + 40,
+                        ..arrived
+                    });
                 }
                 continue;
             };
-            said += 1;
-            let answer = paces.allocate(now, &demand, |_| Some(limit));
-            if fault == Fault::Losses && said % 5 == 0 {
-                up.push((now + 60, router, asked, demand));
+            self.answered += 1;
+            let answer = allocator.allocate(now, &arrived.message, |_| Some(limit));
+            let (router, asked_at_ms) = (arrived.router, arrived.asked_at_ms);
+            if self.fault == Fault::Losses && self.answered.is_multiple_of(5) {
+                self.to_leader.push(InFlight {
+                    arrives_at_ms: now + 60,
+                    ..arrived
+                });
             }
-            if fault != Fault::Losses || said % 3 != 0 {
-                down.push((now + 1 + draw(30), router, asked, answer));
+            if self.fault != Fault::Losses || !self.answered.is_multiple_of(3) {
+                self.to_routers.push(InFlight {
+                    arrives_at_ms: now + 1 + (self.draw)(30),
+                    router,
+                    asked_at_ms,
+                    message: answer,
+                });
             }
         }
-        let (come, later): (Vec<_>, Vec<_>) = down.into_iter().partition(|(at, ..)| *at <= now);
-        down = later;
-        for (_, router, asked, answer) in come {
-            if !is_frozen(router) {
-                fleet[router].apply_grants(now, answer.heartbeat, asked + LEASE_MS, &answer.grants);
+    }
+
+    fn deliver_answers(&mut self) {
+        let now = self.now;
+        for arrived in take_where(&mut self.to_routers, |sent| sent.arrives_at_ms <= now) {
+            if !self.is_paused(arrived.router) {
+                let until_ms = arrived.asked_at_ms + LEASE_MS;
+                let answer = &arrived.message;
+                self.routers[arrived.router].limiter.apply_grants(
+                    now,
+                    answer.heartbeat,
+                    until_ms,
+                    &answer.grants,
+                );
             }
         }
-        queue.retain(|job| {
-            if is_frozen(job.router) {
-                return true;
-            }
-            let meters = &mut fleet[job.router];
-            match meters.admit(now, "t", job.came, Some(job.ticket), PATIENCE) {
-                AdmissionDecision::Admitted => seen.admitted.push(now),
-                AdmissionDecision::Queued(_) => return true,
-                AdmissionDecision::OverQuota | AdmissionDecision::NoLeader => seen.refused += 1,
+    }
+
+    fn admit(&mut self, router: usize, arrived_at_ms: u64, ticket: Option<u64>) -> Option<u64> {
+        let limiter = &mut self.routers[router].limiter;
+        match limiter.admit(self.now, "t", arrived_at_ms, ticket, PATIENCE_MS) {
+            AdmissionDecision::Admitted => self.result.admitted.push(self.now),
+            AdmissionDecision::Queued(ticket) => return Some(ticket),
+            AdmissionDecision::OverQuota | AdmissionDecision::NoLeader => self.result.rejected += 1,
+        }
+        None
+    }
+
+    fn decide_queued_requests(&mut self) {
+        for request in std::mem::take(&mut self.queue) {
+            let QueuedRequest {
+                arrived_at_ms,
+                router,
+                ticket,
+            } = request;
+            if self.is_paused(router) || self.admit(router, arrived_at_ms, Some(ticket)).is_some() {
+                self.queue.push(request);
+                continue;
             }
-            seen.longest_wait = seen.longest_wait.max(now - job.came);
-            false
-        });
-        while due <= now * 1_000 {
-            due += each(now);
-            let router = draw(routers as u64) as usize;
-            let router = if is_frozen(router) { 1 } else { router };
-            match fleet[router].admit(now, "t", now, None, PATIENCE) {
-                AdmissionDecision::Admitted => seen.admitted.push(now),
-                AdmissionDecision::Queued(ticket) => queue.push(Job {
-                    came: now,
+            let wait_ms = self.now - arrived_at_ms;
+            self.result.longest_wait_ms = self.result.longest_wait_ms.max(wait_ms);
+        }
+    }
+
+    fn receive_requests(&mut self, interval_us: &impl Fn(u64) -> u64) {
+        let now = self.now;
+        while self.next_arrival_at_us <= now * 1_000 {
+            self.next_arrival_at_us += interval_us(now);
+            let router = (self.draw)(self.routers.len() as u64) as usize;
+            let router = if self.is_paused(router) { 1 } else { router };
+            if let Some(ticket) = self.admit(router, now, None) {
+                self.queue.push(QueuedRequest {
+                    arrived_at_ms: now,
                     router,
                     ticket,
-                }),
-                AdmissionDecision::OverQuota | AdmissionDecision::NoLeader => seen.refused += 1,
+                });
             }
         }
     }
-    seen
 }
 
-/// At 80, 95 and 100 % of its quota, from one router or nine, in small and
-/// large paces, whatever befalls the leader and the routers: never refused.
-/// At twice the pace and at ten times: little more than it, and not much
-/// less.
+/// At 80, 95 and 100 % of its quota, from one router or nine, at small and large rates,
+/// whatever happens to the leader and the routers: never rejected. At twice the rate and at
+/// six times: little more than the quota, and not much less.
 fn holds(seeds: std::ops::Range<u64>) -> usize {
     let faults = [
         Fault::None,
         Fault::Leader,
         Fault::Router,
-        Fault::Frozen,
+        Fault::Paused,
         Fault::Losses,
     ];
     let mut runs = 0;
     for fault in faults {
-        for (pace, routers) in [(2, 1), (2, 9), (10, 2), (10, 9), (100, 1), (100, 9)] {
-            if routers == 1 && fault == Fault::Frozen {
+        for (rate, routers) in [(2, 1), (2, 9), (10, 2), (10, 9), (100, 1), (100, 9)] {
+            if routers == 1 && fault == Fault::Paused {
                 continue;
             }
             for (percent, seed) in seeds
                 .clone()
                 .flat_map(|seed| [80, 95, 100, 200, 600].map(|percent| (percent, seed)))
             {
-                let each = 1_000_000 * 100 / pace / percent;
-                let seen = run(routers, quota(pace, pace * 2), |_| each, fault, seed);
+                let interval_us = 1_000_000 * 100 / rate / percent;
+                let result = run(routers, quota(rate, rate * 2), |_| interval_us, fault, seed);
                 let what = format!(
-                    "{fault:?}, pace {pace}, {routers} routers, {percent} %, seed {seed}: \
-                     {} admitted, {} refused, longest wait {} ms",
-                    seen.admitted.len(),
-                    seen.refused,
-                    seen.longest_wait
+                    "{fault:?}, rate {rate}, {routers} routers, {percent} %, seed {seed}: \
+                     {} admitted, {} rejected, longest wait {} ms",
+                    result.admitted.len(),
+                    result.rejected,
+                    result.longest_wait_ms
                 );
                 runs += 1;
                 if percent <= 100 {
-                    assert_eq!(seen.refused, 0, "{what}");
+                    assert_eq!(result.rejected, 0, "{what}");
                     continue;
                 }
-                // Over any span its burst and its pace, and a tenth: a
+                // Over any span its burst and its rate, and a tenth: a
                 // bucket of that size never runs dry.
-                let most = pace as f64 * 2.2 + 1.0;
+                let most = rate as f64 * 2.2 + 1.0;
                 let (mut level, mut before) = (most, 0);
-                for at in &seen.admitted {
-                    level = most.min(level + (at - before) as f64 * pace as f64 * 1.1e-3) - 1.0;
+                for at in &result.admitted {
+                    level = most.min(level + (at - before) as f64 * rate as f64 * 1.1e-3) - 1.0;
                     before = *at;
                     assert!(level >= 0.0, "{what}: too many until {at}");
                 }
-                let least = 30 * pace * 9 / 10;
-                assert!(seen.admitted.len() as u64 >= least, "{what}");
+                let least = 30 * rate * 9 / 10;
+                assert!(result.admitted.len() as u64 >= least, "{what}");
             }
         }
     }
@@ -204,27 +312,27 @@
 }
 
 /// Guards: a tenant gets not much past its quota, and one within its quota
-/// is never refused.
+/// is never rejected.
 #[test]
 fn quotas_hold_both_ways() {
     holds(0..1);
 }
 
-/// The step response that docs/controllers.md shows: wanting 5 jobs a second,
-/// 30 for four seconds, then 5 again, at a pace of 10 and a burst of 20.
+/// The step response that docs/controllers.md shows: wanting 5 requests a second,
+/// 30 for four seconds, then 5 again, at a rate of 10 and a burst of 20.
 #[test]
 fn the_page_shows_this_step_response() {
-    let each = |now: u64| {
+    let interval_us = |now: u64| {
         if (8_000..12_000).contains(&now) {
             33_334
         } else {
             200_000
         }
     };
-    let seen = run(9, quota(10, 20), each, Fault::None, 1);
+    let result = run(9, quota(10, 20), interval_us, Fault::None, 1);
     let second = |from: u64| {
         let inside = |at: &&u64| (from..from + 1_000).contains(*at);
-        seen.admitted.iter().filter(inside).count().to_string()
+        result.admitted.iter().filter(inside).count().to_string()
     };
     let row: Vec<String> = (5..15).map(|n| second(n * 1_000)).collect();
     let row = format!("| admitted | {} |", row.join(" | "));
@@ -236,7 +344,7 @@
 
 /// Run by hand: `cargo test --release -p placement -- --ignored --nocapture`.
 #[test]
-#[ignore = "a sweep, for whoever has the time"]
+#[ignore = "a sweep, run by hand"]
 fn quotas_hold_over_many_seeds() {
     println!("{} runs", holds(0..40));
 }
--- a/placement/tests/request_state.rs
+++ b/placement/tests/request_state.rs
@@ -3,7 +3,7 @@
 use placement::{ExecutionOutcome, RequestEvent, RequestState, RequestStateMachine};
 use RequestEvent::*;
 
-/// Guards: nothing non-repeatable runs twice; `not-run` is true.
+/// Guards: nothing that is not idempotent runs twice; `not-run` is true.
 #[test]
 fn each_path_ends_in_its_state_and_outcome() {
     let start = [RoutingKeyExtracted, MappingResolved, EngineSelected];
@@ -99,7 +99,7 @@
         for event in start.iter().chain(events) {
             request
                 .apply(*event)
-                .expect("every case is a way through the chart");
+                .expect("every case is a path of the state machine");
         }
         assert_eq!(
             (request.state(), request.outcome()),
@@ -153,7 +153,7 @@
     for (is_idempotent, events, forbidden) in cases {
         let mut request = RequestStateMachine::new(is_idempotent);
         events.iter().for_each(|event| {
-            request.apply(*event).expect("the way there is allowed");
+            request.apply(*event).expect("the path there is allowed");
         });
         assert!(
             request.apply(forbidden).is_err(),
@@ -173,18 +173,18 @@
             Reject, ClientDisconnected,
         ];
         let mut request = RequestStateMachine::new(false);
-        let mut at_large = false;
+        let mut may_be_running = false;
         for pick in picks {
             let Ok(_) = request.apply(all[pick]) else { continue };
             match all[pick] {
                 SendStarted | Forwarded => {
-                    assert!(!at_large);
-                    at_large = true;
+                    assert!(!may_be_running);
+                    may_be_running = true;
                 }
-                NotRun | NothingSent | ForwardNotRun => at_large = false,
+                NotRun | NothingSent | ForwardNotRun => may_be_running = false,
                 _ => {}
             }
-            assert!(!at_large || request.outcome() != ExecutionOutcome::NotRun);
+            assert!(!may_be_running || request.outcome() != ExecutionOutcome::NotRun);
         }
     }
 }
--- a/placement/tests/retry_budget.rs
+++ b/placement/tests/retry_budget.rs
@@ -1,15 +1,15 @@
-//! Further rounds over a fleet, against the bound on every window.
+//! Retries over a fleet, against the limit on every window.
 
 use placement::{RetryBudget, RetryLimit};
 
-const BOUND: RetryLimit = RetryLimit {
+const LIMIT: RetryLimit = RetryLimit {
     ratio: 0.2,
     window_ms: 10_000,
     extra_retries: 58.0,
 };
 
 /// Guards: retries do not grow beyond the bound, over all routers together, in any
-/// window, while routers restart and traffic swings; every job wants more rounds.
+/// window, while routers restart and traffic swings; every request is to be retried.
 #[test]
 fn retries_stay_within_the_budget_in_every_window() {
     for seed in 1..12u64 {
@@ -21,31 +21,31 @@
             (state >> 11) % below
         };
         let fleet = 9;
-        let mut routers: Vec<RetryBudget> = (0..fleet).map(|_| RetryBudget::new(BOUND)).collect();
-        let (mut jobs, mut rounds) = (Vec::new(), Vec::new());
+        let mut routers: Vec<RetryBudget> = (0..fleet).map(|_| RetryBudget::new(LIMIT)).collect();
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         let mut now = 1_000;
         while now < 60_000 {
             now += draw(if now % 15_000 < 4_000 { 6 } else { 60 });
             let at = draw(fleet) as usize;
             if draw(2_000) == 0 {
-                routers[at] = RetryBudget::new(BOUND);
+                routers[at] = RetryBudget::new(LIMIT);
             }
             routers[at].deposit(now, "s");
-            jobs.push(now);
+            requests.push(now);
             for _ in 0..3 {
                 if routers[at].try_withdraw(now, "s", fleet as usize) {
-                    rounds.push(now);
+                    retries.push(now);
                 }
             }
         }
-        assert!(rounds.len() > 100, "there are some: {}", rounds.len());
+        assert!(retries.len() > 100, "there are some: {}", retries.len());
         let count = |list: &[u64], from: u64, until: u64| {
             list.partition_point(|at| *at < until) - list.partition_point(|at| *at < from)
         };
         for from in (0..60_000u64).step_by(100) {
-            let until = from + BOUND.window_ms;
-            let most = BOUND.ratio * count(&jobs, from, until) as f64 + BOUND.extra_retries;
-            let had = count(&rounds, from, until);
+            let until = from + LIMIT.window_ms;
+            let most = LIMIT.ratio * count(&requests, from, until) as f64 + LIMIT.extra_retries;
+            let had = count(&retries, from, until);
             assert!(
                 had as f64 <= most,
                 "seed {seed}, from {from}: {had} for {most}"
@@ -56,13 +56,13 @@
 
 #[test]
 fn no_retry_for_an_unknown_service_or_fleet_size() {
-    let mut allowance = RetryBudget::new(BOUND);
-    assert!(!allowance.try_withdraw(1, "s", 3), "no job came for it");
-    allowance.deposit(1, "s");
+    let mut budget = RetryBudget::new(LIMIT);
+    assert!(!budget.try_withdraw(1, "s", 3), "no request came for it");
+    budget.deposit(1, "s");
     assert!(
-        !allowance.try_withdraw(2, "s", 0),
-        "how many share the extra is not known"
+        !budget.try_withdraw(2, "s", 0),
+        "the number of routers that share the extra is not known"
     );
-    assert!(allowance.try_withdraw(2, "s", 3));
-    assert!(!allowance.try_withdraw(2, "other", 3));
+    assert!(budget.try_withdraw(2, "s", 3));
+    assert!(!budget.try_withdraw(2, "other", 3));
 }
--- a/placement/tests/router_membership.rs
+++ b/placement/tests/router_membership.rs
@@ -1,10 +1,10 @@
-//! Company told by what is new: both ends have the same, and little is said.
+//! Membership updates: both ends hold the same, and little is sent.
 
 use consensus::Member;
 use placement::RouterMembership;
 use protocol::{RegistryUpdate, RouterStatus};
 
-fn front(number: u64, epoch: u64, is_leaving: bool, age_ms: u64) -> RouterStatus {
+fn status(number: u64, epoch: u64, is_leaving: bool, age_ms: u64) -> RouterStatus {
     RouterStatus {
         name: format!("router-{number}"),
         region: "north".into(),
@@ -29,20 +29,20 @@
     (1..=count).map(member).collect()
 }
 
-fn said(company: &RouterMembership) -> Vec<(String, String, bool, bool)> {
-    let said = |front: &RouterStatus| {
+fn announced(membership: &RouterMembership) -> Vec<(String, String, bool, bool)> {
+    let announced = |router: &RouterStatus| {
         (
-            front.name.clone(),
-            front.peer_address.clone(),
-            front.epoch > 0,
-            front.is_draining,
+            router.name.clone(),
+            router.peer_address.clone(),
+            router.epoch > 0,
+            router.is_draining,
         )
     };
-    company.routers().map(said).collect()
+    membership.routers().map(announced).collect()
 }
 
-/// Guards: a router knows of the others what a whole list would tell it, whatever
-/// comes, leaves, restarts, and is not sent because the way is full.
+/// Guards: a router knows what a full list would tell it, whatever routers start, leave and
+/// restart, and whichever updates are not sent because the queue is full.
 #[test]
 fn both_ends_hold_the_full_list() {
     for seed in 0..200 {
@@ -58,7 +58,7 @@
         let mut nodes = 1;
         for step in 0..200 {
             match draw(6) {
-                0 => there.push(front(step + 1, 0, false, 0)),
+                0 => there.push(status(step + 1, 0, false, 0)),
                 1 if !there.is_empty() => drop(there.remove(draw(there.len() as u64) as usize)),
                 2 if !there.is_empty() => {
                     let at = draw(there.len() as u64) as usize;
@@ -72,18 +72,22 @@
                 _ => {}
             }
             if draw(40) == 0 {
-                // Another session: its node has told this router nothing yet.
+                // Another session: its node has sent this router nothing yet.
                 node = RouterMembership::default();
             }
-            let news = node.update_to(there.clone(), members(nodes));
+            let update = node.update_to(there.clone(), members(nodes));
             if draw(5) == 0 {
                 continue;
             }
-            node.apply(&news);
-            router.apply(&news);
+            node.apply(&update);
+            router.apply(&update);
             let mut wanted = RouterMembership::default();
             wanted.apply(&RouterMembership::default().update_to(there.clone(), members(nodes)));
-            assert_eq!(said(&router), said(&wanted), "seed {seed}, step {step}");
+            assert_eq!(
+                announced(&router),
+                announced(&wanted),
+                "seed {seed}, step {step}"
+            );
             assert_eq!(
                 router.directory_nodes(),
                 members(nodes),
@@ -97,7 +101,7 @@
 fn ages_and_epochs_are_not_sent_again() {
     let list = |epoch, age| {
         (1..=350)
-            .map(|n| front(n, epoch, false, age))
+            .map(|n| status(n, epoch, false, age))
             .collect::<Vec<_>>()
     };
     let mut node = RouterMembership::default();
@@ -120,5 +124,8 @@
     assert_eq!(node.update_to(list(2, 700), members(8)), nothing);
     assert_eq!(node.empty_update(), nothing);
     let length = protocol::encode(&protocol::Frame::RegistryUpdate(nothing)).len();
-    assert!(length <= 32, "nothing new is said in {length} bytes");
+    assert!(
+        length <= 32,
+        "an update without changes takes {length} bytes"
+    );
 }
--- a/placement/tests/slow_start.rs
+++ b/placement/tests/slow_start.rs
@@ -2,7 +2,7 @@
 
 use placement::{SlowStart, SLOW_START_RESPONSES};
 
-/// Guards: an engine coming back cold is not flooded.
+/// Guards: an engine that restarted gets few requests at first.
 #[test]
 fn the_limit_grows_with_responses() {
     let limits: Vec<u32> = (0..=SLOW_START_RESPONSES)
