--- a/directory/src/command_result.rs
+++ b/directory/src/command_result.rs
@@ -37,7 +37,7 @@
     /// or not.
     #[error("leadership changed meanwhile")]
     OutcomeUnknown,
-    /// No leader could be asked in time; nothing was changed.
+    /// No leader could be reached in time; nothing was changed.
     #[error("no leader took it in time")]
     NoLeader,
     /// The leader takes no command for now: it has too few voters, too many open
@@ -74,7 +74,7 @@
     }
 }
 
-/// Reads the leader's answer to a command.
+/// Reads the leader's response to a command.
 ///
 /// # Errors
 /// The command is not known to be applied.
@@ -83,7 +83,7 @@
         PeerResponse::Proposed(outcome) => outcome_result(outcome),
         PeerResponse::LeadershipLost => Err(CommandError::OutcomeUnknown),
         PeerResponse::NotLeader => Err(CommandError::NoLeader),
-        // All but `Busy` answer requests that are no commands.
+        // All but `Busy` respond to requests that are no commands.
         PeerResponse::Busy
         | PeerResponse::ReadIndex { .. }
         | PeerResponse::MembershipChanged
@@ -91,7 +91,7 @@
     }
 }
 
-/// Reads the leader's answer to a change of the membership.
+/// Reads the leader's response to a change of the membership.
 ///
 /// # Errors
 /// The change is not known to be committed.
@@ -103,7 +103,7 @@
         }
         PeerResponse::LeadershipLost => Err(CommandError::OutcomeUnknown),
         PeerResponse::NotLeader => Err(CommandError::NoLeader),
-        // All but `Busy` answer requests that change no membership.
+        // All but `Busy` respond to requests that change no membership.
         PeerResponse::Busy | PeerResponse::ReadIndex { .. } | PeerResponse::Proposed(_) => {
             Err(CommandError::Busy)
         }
--- a/directory/src/driver/command.rs
+++ b/directory/src/driver/command.rs
@@ -8,8 +8,8 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Commands that wait for the driver's thread, and write batches that wait for the disk
-/// thread, at the most. A sender that finds the queue full is turned down at once; the
-/// disk thread alone waits for room.
+/// thread, at the most. A sender that finds the queue full fails at once; only the disk
+/// thread waits for room.
 pub(super) const COMMAND_QUEUE_LEN: usize = 4096;
 
 /// Writes of one step of the node, in their order.
@@ -47,7 +47,7 @@
     Subscribe(mpsc::Sender<Frame>),
     /// Hand leadership to another voter, if it is here.
     TransferLeadership,
-    /// How the members stand, as their leader knows it.
+    /// The health of the members, as their leader knows it.
     MembershipReport(oneshot::Sender<MembershipReport>),
 }
 
--- a/directory/src/driver/handle.rs
+++ b/directory/src/driver/handle.rs
@@ -1,4 +1,4 @@
-//! The handle of the consensus driver: what other parts of the node ask it for.
+//! The handle of the consensus driver, as the other parts of the node use it.
 
 use super::command::{BootstrapError, DriverCommand, LocalRequest};
 use super::pause_detector::PauseDetector;
@@ -21,7 +21,7 @@
 const SUBMIT_RETRY_MS: u64 = 120;
 /// Between two questions whether this node may stop, plus jitter.
 const LEAVE_RETRY_MS: u64 = 80;
-/// Without a leader for so long, a node that is to stop does not wait for its word.
+/// Without a leader for so long, a node that is to stop does not wait for a confirmation.
 const NO_LEADER_WAIT_MS: u64 = 1_000;
 /// How long a node that is to stop waits for another one to lead.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -33,11 +33,11 @@
     pub(super) commands: SyncSender<DriverCommand>,
     /// The replicated state as it is applied here; written by the driver's thread alone.
     pub(crate) state: Arc<RwLock<State>>,
-    /// What of it the request path needs, replaced as a whole by each change.
+    /// What of it the request path needs, replaced by each change.
     pub(crate) view: watch::Receiver<Arc<View>>,
     pub(crate) cluster_status: watch::Receiver<ClusterStatus>,
-    /// When the read was asked for that a majority confirmed last; the node's lease
-    /// counts from then. 0: none was.
+    /// When the read index that a majority confirmed last was requested; the node's
+    /// lease counts from then. 0: none was confirmed.
     pub(super) confirmed_at_ms: Arc<AtomicU64>,
     /// How many routers are known here.
     pub(crate) router_count: Arc<AtomicUsize>,
@@ -58,7 +58,7 @@
         self.commands.try_send(command).is_ok()
     }
 
-    /// Sends a request to the leader, here or elsewhere, and waits for the answer.
+    /// Sends a request to the leader, here or elsewhere, and waits for the response.
     pub(crate) async fn request(&self, request: PeerRequest) -> PeerResponse {
         self.send_request(LocalRequest {
             request,
@@ -186,7 +186,7 @@
         }
     }
 
-    /// How the members stand, by the leader's own account if it is here.
+    /// The health of the members, as the leader knows it; defaults where it is elsewhere.
     pub(crate) async fn membership(&self) -> MembershipReport {
         let (sender, receiver) = oneshot::channel();
         if !self.send(DriverCommand::MembershipReport(sender)) {
--- a/directory/src/driver/mod.rs
+++ b/directory/src/driver/mod.rs
@@ -5,7 +5,8 @@
 //!
 //! * `consensus` (`thread/`) owns the consensus node and the replicated state, both in
 //!   memory, and is the only one to change them. Its queue holds `COMMAND_QUEUE_LEN`
-//!   commands; senders never wait, what finds no place is dropped and asked again.
+//!   commands; senders never wait: a command that finds the queue full is dropped, and
+//!   its sender retries.
 //! * `disk` (`disk.rs`) owns the log, the hard state and the snapshots on disk. Its
 //!   queue holds as many write batches; a full one counts as a failed disk.
 //!
--- a/directory/src/driver/pause_detector.rs
+++ b/directory/src/driver/pause_detector.rs
@@ -3,10 +3,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use transport::now;
 
-/// After so long without a frame a connection, or this process, was paused: how old
-/// a report that comes next is cannot be told, and the connection is closed. Whoever
-/// is there connects again. Invariant: longer than a router's own patience with a
-/// session that brings it no lease.
+/// The longest silence on a connection. After more, the connection or this process was
+/// paused and the age of the next report is not known: the connection is closed, and the
+/// other side reconnects. Invariant: longer than a router keeps a session that brings it
+/// no lease.
 pub(crate) const MAX_SILENCE_MS: u64 = 1_300;
 
 /// Records when the driver's thread last ran, so that frames that may have waited in
--- a/directory/src/driver/status.rs
+++ b/directory/src/driver/status.rs
@@ -1,8 +1,8 @@
-//! How this node and its cluster stand, as the driver's thread publishes it.
+//! The status of this node and its cluster, as the driver's thread publishes it.
 
 use consensus::{Membership, NodeId, Term};
 
-/// How this node stands, for all parts of the node to read.
+/// The status of this node, for all parts of it to read.
 #[derive(Clone, Default)]
 pub struct ClusterStatus {
     /// Whether this node leads.
--- a/directory/src/driver/thread/driver_thread.rs
+++ b/directory/src/driver/thread/driver_thread.rs
@@ -23,8 +23,8 @@
     pub(in crate::driver) state: Arc<RwLock<State>>,
     pub(in crate::driver) view: watch::Sender<Arc<View>>,
     pub(in crate::driver) cluster_status: watch::Sender<ClusterStatus>,
-    /// When the read was asked for that a majority confirmed last. It is void, 0, once
-    /// this node falls back to what its disk holds.
+    /// When the read index that a majority confirmed last was requested. 0, so that the
+    /// lease has ended, once this node falls back to what its disk holds.
     pub(in crate::driver) confirmed_at_ms: Arc<AtomicU64>,
     /// Routers that are known to this node; written by the subscriptions.
     pub(in crate::driver) router_count: Arc<AtomicUsize>,
--- a/directory/src/driver/thread/request_table.rs
+++ b/directory/src/driver/thread/request_table.rs
@@ -1,11 +1,11 @@
-//! Requests that wait for an answer: of this process, of other nodes, at the leader.
+//! Requests that wait for a response: of this process, of other nodes, at the leader.
 
 use consensus::{NodeId, Term};
 use protocol::{PeerResponse, RouterGrants};
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
-/// Who waits for an answer.
+/// Who waits for a response.
 pub(super) enum Waiter {
     /// A task of this process; its request came in at `asked_at_ms`.
     Local {
@@ -39,7 +39,7 @@
     pub(super) grants: Vec<RouterGrants>,
 }
 
-/// All in memory: what a restart loses, whoever waits asks again.
+/// All in memory: requests that a restart loses are retried by whoever sent them.
 pub(super) struct RequestTable {
     last_token: u64,
     /// Handed to the node here as the leader, by token.
--- a/directory/src/driver/thread/requests.rs
+++ b/directory/src/driver/thread/requests.rs
@@ -1,4 +1,4 @@
-//! Requests, from this process and from other nodes, and their answers.
+//! Requests, from this process and from other nodes, and their responses.
 
 use super::driver_thread::DriverThread;
 use super::request_table::{ConfirmedRead, SentRequest, Waiter};
@@ -77,8 +77,8 @@
         self.peers.send(&leader.address, frame);
     }
 
-    /// A request from another node. One that is late is not acted on; whoever still
-    /// waits asks again.
+    /// A request from another node. One that is late is not acted on; a node that still
+    /// waits retries.
     pub(super) fn handle_forwarded_request(&mut self, forwarded: RequestFromPeer) {
         let RequestFromPeer {
             from,
@@ -137,7 +137,7 @@
 
     pub(super) fn respond(&self, waiter: Waiter, response: PeerResponse) {
         match waiter {
-            // Who asked may have left; then nobody needs the answer.
+            // The requester may be gone; then the response is not needed.
             Waiter::Local { sender, .. } => drop(sender.send(response)),
             Waiter::Peer { node, request_id } => {
                 let clock_ms = now();
--- a/directory/src/driver/thread/status.rs
+++ b/directory/src/driver/thread/status.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Whether `status` says how the node stands; compared without a copy, since this is
-    /// asked after every command.
+    /// Whether `status` is the node's own; compared without a copy, since this is checked
+    /// after every command.
     fn is_published(&self, status: &ClusterStatus) -> bool {
         let node = &self.node;
         status.is_leader == (node.role() == Role::Leader)
@@ -74,7 +74,7 @@
             && status.members == *node.members()
     }
 
-    /// Publishes how this node stands, where that has changed.
+    /// Publishes the node's status, where it has changed.
     pub(in crate::driver) fn publish_status(&mut self) {
         if self.is_published(&self.published.cluster_status.borrow()) {
             return;
@@ -86,7 +86,7 @@
         let before = self.published.cluster_status.send_replace(status);
         let status = self.published.cluster_status.borrow();
         if before.leader != status.leader {
-            // What was asked of the former leader is asked again elsewhere.
+            // Requests that were sent to the former leader are retried at the new one.
             self.requests.lose_sent();
             let leader = status.leader.and_then(|id| status.members.get(id));
             match leader {
--- a/directory/src/forwarded_requests/body.rs
+++ b/directory/src/forwarded_requests/body.rs
@@ -15,7 +15,7 @@
 /// slow.
 ///
 /// # Errors
-/// A frame is out of place, or the connection broke.
+/// A frame breaks the protocol, or the connection broke.
 pub(super) async fn upload(
     reader: &mut (impl AsyncRead + Unpin),
     chunks: mpsc::Sender<anyhow::Result<Bytes>>,
--- a/directory/src/forwarded_requests/key.rs
+++ b/directory/src/forwarded_requests/key.rs
@@ -45,8 +45,8 @@
 /// Reads the key and resolves it.
 ///
 /// # Errors
-/// Outer: the connection is broken or a frame is out of place. Inner: the request is
-/// refused and did not run.
+/// Outer: the connection is broken or a frame breaks the protocol. Inner: the request
+/// is rejected and did not run.
 pub(super) async fn read_key(
     control: &ControlPlane,
     head: &ForwardedRequest,
--- a/directory/src/forwarded_requests/serve.rs
+++ b/directory/src/forwarded_requests/serve.rs
@@ -42,7 +42,7 @@
 /// Serves one forwarded request.
 ///
 /// # Errors
-/// The connection broke or a frame was out of place; the router sees a broken response.
+/// The connection broke or a frame broke the protocol; the router sees a broken response.
 pub(crate) async fn serve(control: Arc<ControlPlane>, stream: TcpStream) -> anyhow::Result<()> {
     let (mut reader, mut writer) = stream.into_split();
     if !control.driver.lease_valid() {
--- a/directory/src/main.rs
+++ b/directory/src/main.rs
@@ -17,7 +17,7 @@
     setting(
         "address",
         "IP:PORT",
-        "where its own kind and the routers reach it",
+        "where other directory nodes and the routers reach it",
         None,
     ),
     setting(
@@ -37,19 +37,19 @@
     setting(
         "voters",
         "COUNT",
-        "how many voters a leader strives for",
+        "how many voters the repair of the membership aims for",
         Some("5"),
     ),
     setting(
         "jobs",
         "COUNT",
-        "forwarded jobs at a time, at the most; 0: mappings alone",
+        "forwarded requests at a time, at the most; 0: mappings alone",
         Some("64"),
     ),
     setting(
         "bytes",
         "COUNT",
-        "bytes of forwarded bodies held at a time",
+        "bytes of forwarded bodies in memory at a time, at the most",
         Some("16777216"),
     ),
     setting(
@@ -69,18 +69,18 @@
 fn main() {
     let mut reader = SettingsReader::read(
         "directory",
-        "A rushport directory node: holds residency, agrees on it with its equals,\n\
+        "A rushport directory node: replicates residency with the other nodes,\n\
          resolves what routers miss, and answers operators.",
         SETTINGS,
     );
-    let (address, desk) = (reader.address("address"), reader.address("desk"));
+    let (address, operator_address) = (reader.address("address"), reader.address("desk"));
     let settings = Settings {
         name: reader.name("name"),
         region: reader.name("region"),
         zone: reader.name("zone"),
         address,
         listen: reader.address_or("listen", address),
-        operator_address: desk,
+        operator_address,
         data_path: reader.text("data").into(),
         seeds: reader.addresses("seeds"),
         timing: Timing {
@@ -97,7 +97,7 @@
         runtime: RuntimeFlavor::MultiThread,
     };
     let level = reader.text("level");
-    if address == desk {
+    if address == operator_address {
         reader.reject("desk", "it can't be the same as `address`");
     }
     reader.exit_if_invalid();
--- a/directory/src/operator_api/status.rs
+++ b/directory/src/operator_api/status.rs
@@ -30,7 +30,7 @@
     http_server::json(if is_healthy { 200 } else { 503 }, &value)
 }
 
-/// How this node, its cluster and what is registered in the state stand.
+/// The status of this node and its cluster, and what is registered in the state.
 pub(super) async fn status(control: &ControlPlane) -> Response {
     let report = control.driver.membership().await;
     let cluster_status = control.driver.cluster_status.borrow().clone();
--- a/directory/src/peer_connections.rs
+++ b/directory/src/peer_connections.rs
@@ -24,8 +24,8 @@
 /// After the other side refused this node.
 const REFUSED_DELAY: Duration = Duration::from_secs(2);
 
-/// The ways out to peers. Invariant: a frame is sent once or dropped; whoever needs an
-/// answer asks again.
+/// The outgoing connections to peers. Invariant: a frame is sent once or dropped; a
+/// requester that needs a response retries.
 ///
 /// Each address has a task that sends its queue. The tasks are started here and end with
 /// the runtime: a peer's address may always be sent to again.
@@ -85,7 +85,7 @@
         drop(queue.try_send(frame));
     }
 
-    /// Whether somebody waits for the answer of this request_id from `peer`. Not so for one
+    /// Whether a response to this request is awaited from `peer`. Not so for one
     /// that is late, comes a second time, or is meant for an earlier process at this
     /// address.
     pub(crate) fn accept_response(&self, request_id: u64, peer: &Member) -> bool {
--- a/directory/src/peers/inbound.rs
+++ b/directory/src/peers/inbound.rs
@@ -1,4 +1,4 @@
-//! The port of a node: peers, routers and forwarded requests come in here.
+//! The listener of a node: it accepts peers, routers and forwarded requests.
 
 use super::sender_check::{check_sender, PeerFrameError};
 use crate::control_plane::ControlPlane;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Receives frames of another directory node until one of them is out of place.
+/// Receives frames of another directory node until one of them breaks the protocol.
 async fn receive_from_peer(
     control: Arc<ControlPlane>,
     mut stream: TcpStream,
@@ -61,7 +61,7 @@
     Ok(())
 }
 
-/// Hands a frame of the consensus, or a request or an answer, to the driver's thread. A
+/// Passes a consensus message, a request or a response to the driver's thread. A
 /// frame that finds its queue full is dropped; the peer sends it again.
 fn pass_to_driver(
     control: &ControlPlane,
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-/// Adds a node that asks to join as a learner, and says what became of it.
+/// Adds a node that asks to join as a learner; the response says whether it was.
 async fn add_learner(control: &ControlPlane, member: Member) -> Frame {
     let response = control
         .driver
--- a/directory/src/peers/join.rs
+++ b/directory/src/peers/join.rs
@@ -14,11 +14,11 @@
 const JOIN_RETRY_MS: u64 = 100;
 /// How often a member looks whether it still is one, plus jitter.
 const MEMBERSHIP_CHECK_MS: u64 = 2_000;
-/// How long one seed's answer is waited for.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long one seed's response is waited for.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A seed's answer.
-struct JoinAnswer {
+/// A seed's response.
+struct JoinResponse {
     is_admitted: bool,
     text: String,
 }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Asks all seeds at once, so that one that does not answer delays nothing; ends with
+/// Asks all seeds at once, so that one that does not respond delays nothing; ends with
 /// the first that lets this node in. The tasks end with the call.
 async fn ask_seeds(control: &Arc<ControlPlane>) {
     let mut requests = JoinSet::new();
@@ -58,32 +58,35 @@
         let control = Arc::clone(control);
         requests.spawn(async move { (seed, request_join(&control, seed).await) });
     }
-    while let Some(answer) = requests.join_next().await {
-        match answer {
-            Ok((_, Ok(answer))) if answer.is_admitted => return,
-            Ok((seed, Ok(answer))) => {
-                log::info!("The seed {seed} does not let this node in: {}", answer.text);
+    while let Some(response) = requests.join_next().await {
+        match response {
+            Ok((_, Ok(response))) if response.is_admitted => return,
+            Ok((seed, Ok(response))) => {
+                log::info!(
+                    "The seed {seed} does not let this node in: {}",
+                    response.text
+                );
             }
-            Ok((seed, Err(error))) => log::debug!("The seed {seed} did not answer: {error:#}"),
+            Ok((seed, Err(error))) => log::debug!("The seed {seed} did not respond: {error:#}"),
             Err(_) => {}
         }
     }
 }
 
-async fn request_join(control: &ControlPlane, seed: SocketAddr) -> anyhow::Result<JoinAnswer> {
+async fn request_join(control: &ControlPlane, seed: SocketAddr) -> anyhow::Result<JoinResponse> {
     let name = &control.member.name;
     let mut stream = link::dial(control.source, seed, ConnectionKind::Peer, name).await?;
     link::send(&mut stream, &Frame::Join(control.member.clone())).await?;
-    let answer = link::receive(&mut stream, protocol::MAX_HELLO_BYTES);
-    match tokio::time::timeout(ANSWER_TIMEOUT, answer).await?? {
-        Some(Frame::Joined { admitted, text }) => Ok(JoinAnswer {
+    let response = link::receive(&mut stream, protocol::MAX_HELLO_BYTES);
+    match tokio::time::timeout(RESPONSE_TIMEOUT, response).await?? {
+        Some(Frame::Joined { admitted, text }) => Ok(JoinResponse {
             is_admitted: admitted,
             text,
         }),
-        Some(Frame::Refused { text }) => Ok(JoinAnswer {
+        Some(Frame::Refused { text }) => Ok(JoinResponse {
             is_admitted: false,
             text,
         }),
-        other => anyhow::bail!("an unexpected answer: {other:?}"),
+        other => anyhow::bail!("an unexpected response: {other:?}"),
     }
 }
--- a/directory/src/router_registry.rs
+++ b/directory/src/router_registry.rs
@@ -120,8 +120,7 @@
 }
 
 impl Routers {
-    /// Merges reports; whether a router came, left, or says something else to the
-    /// other routers.
+    /// Merges reports; true where the list that the other routers get has changed.
     fn merge(&mut self, reports: Vec<RouterStatus>, is_local: bool) -> bool {
         let now_ms = now();
         let count = self.by_name.len();
--- a/directory/src/subscriptions/leases.rs
+++ b/directory/src/subscriptions/leases.rs
@@ -1,7 +1,7 @@
 //! Renews the lease of this node and of the routers whose sessions are here.
 //!
-//! A lease is `LEASE_MS` long, counted from when the leader was asked; the leader
-//! answers once a majority confirmed that it still leads (ReadIndex, section 6.4 of the
+//! A lease is `LEASE_MS` long, counted from the request to the leader; the leader
+//! responds once a majority confirmed that it still leads (ReadIndex, section 6.4 of the
 //! Raft thesis).
 
 use crate::control_plane::ControlPlane;
@@ -58,7 +58,7 @@
 ) {
     let identity = format!("{:016x}", control.member.identity);
     let own_demand = control.quota.lease_demands(&identity, number);
-    // Where quotas are leased from pools a router counts as heard also without a demand.
+    // Where quotas are leased from pools a router counts as alive also without a demand.
     let is_sent = |demand: &&RouterDemand| control.has_quota_margin || !demand.demands.is_empty();
     let demands = heartbeats.iter().map(|heartbeat| &heartbeat.demand);
     let demands = demands.chain([&own_demand]).filter(is_sent).cloned();
@@ -92,7 +92,7 @@
     }
 }
 
-/// The leader's answer to one router's demand.
+/// What the leader granted to one router's demand.
 fn grants_for(demand: &RouterDemand, granted: &[RouterGrants]) -> Vec<QuotaGrant> {
     let is_for = |granted: &&RouterGrants| {
         granted.router == demand.router && granted.heartbeat == demand.heartbeat
--- a/directory/src/subscriptions/mod.rs
+++ b/directory/src/subscriptions/mod.rs
@@ -1,7 +1,7 @@
 //! Routers' sessions: heartbeats in; snapshots, changes, leases and router lists out.
 //!
 //! `session.rs` serves one router; `leases.rs` and `gossip.rs` are one task each for the
-//! whole node. Which routers there are is known to `router_registry.rs`.
+//! whole node. `router_registry.rs` knows the routers.
 
 mod gossip;
 mod leases;
--- a/directory/src/subscriptions/router_list.rs
+++ b/directory/src/subscriptions/router_list.rs
@@ -23,7 +23,7 @@
             true => known.empty_update(),
             false => known.update_to(control.routers.list(), members),
         };
-        // What finds no place in the queue is part of the next update.
+        // An update that finds the queue full is part of the next one.
         known_version = None;
         if sender
             .try_send(Frame::RegistryUpdate(update.clone()))
--- a/directory/src/subscriptions/session.rs
+++ b/directory/src/subscriptions/session.rs
@@ -31,7 +31,8 @@
     UnexpectedFrame(Box<Frame>),
 }
 
-/// Serves a router until it leaves, falls behind, or one of its frames is out of place.
+/// Serves a router until it leaves, falls behind, or one of its frames breaks the
+/// protocol.
 ///
 /// The task that sends router lists belongs to the session and ends with it.
 pub(crate) async fn serve(
