--- a/router/src/cache_tiers.rs
+++ b/router/src/cache_tiers.rs
@@ -14,7 +14,7 @@
 use transport::now;
 
 /// What events made invalid, each with the epoch of the last time. A mapping that
-/// was resolved before is not to be used or kept, whichever way it came.
+/// was resolved before that epoch must not be used or cached, whatever its source.
 /// Invariant: no scope occurs twice.
 #[derive(Default)]
 struct Invalidations(Vec<(InvalidationScope, u64)>);
--- a/router/src/conversation_error.rs
+++ b/router/src/conversation_error.rs
@@ -3,8 +3,8 @@
 use placement::ReplicaViewError;
 use protocol::Frame;
 
-/// Ends the connection on which it occurred. Whether what was asked there may be
-/// asked again is decided where the conversation was begun.
+/// Closes the connection on which it occurred. Whether the request or lookup may be
+/// repeated is decided by the module that opened the connection.
 #[derive(Debug, thiserror::Error)]
 pub enum ConversationError {
     /// Connecting, reading or writing failed.
@@ -16,7 +16,7 @@
     /// This process closed the queue of outgoing frames.
     #[error("the outgoing queue was closed")]
     QueueClosed,
-    /// A frame that has no place here.
+    /// A frame of a kind that is not expected at this point.
     #[error("an unexpected frame: {0:?}")]
     UnexpectedFrame(Box<Frame>),
     /// The other process refuses the conversation.
@@ -65,7 +65,7 @@
 }
 
 impl ConversationError {
-    /// A frame that has no place where it came.
+    /// A frame of a kind that is not expected at this point.
     pub fn unexpected(frame: Frame) -> ConversationError {
         ConversationError::UnexpectedFrame(Box::new(frame))
     }
--- a/router/src/forwarding/conversation.rs
+++ b/router/src/forwarding/conversation.rs
@@ -115,8 +115,8 @@
     }
 
     /// The head and the buffered part of the body. If the routing key was read here,
-    /// the rest follows at the node's word; else at once, since the node has to find
-    /// the key in it.
+    /// the rest follows when the node says so; else at once, since the node has to
+    /// find the key in it.
     async fn send_request(&mut self) -> Result<(), ConversationError> {
         let mut headers = self.parts.headers.clone();
         strip_connection_headers(&mut headers);
--- a/router/src/ingress/admit.rs
+++ b/router/src/ingress/admit.rs
@@ -39,8 +39,8 @@
             return Err(too_long);
         }
         if router.settings.buffered_body_bytes > 0 {
-            // A client that sends its whole request before it reads gets its rejection
-            // after that, not within it.
+            // A client that reads only after it has sent its request gets a rejection when
+            // the body is buffered, not while it still sends.
             let until = Instant::now() + router.settings.body_head_timeout;
             body.buffer(router.settings.buffered_body_bytes, until)
                 .await?;
--- a/router/src/ingress/authorize.rs
+++ b/router/src/ingress/authorize.rs
@@ -18,7 +18,7 @@
 }
 
 impl Client {
-    /// Whoever calls a public route.
+    /// The client of a public route.
     pub fn public() -> Client {
         Client {
             tenant: String::new(),
--- a/router/src/ingress/dispatch.rs
+++ b/router/src/ingress/dispatch.rs
@@ -47,7 +47,7 @@
                 .dispatch(&mut state, parts, &mut body, &mapping, routing_key.prefix)
                 .await;
             match dispatched {
-                Ok(answer) => return Ok(super::respond::from_engine(answer)),
+                Ok(response) => return Ok(super::respond::from_engine(response)),
                 Err(rejection) if may_look_up_again(&rejection, &body) => {}
                 Err(rejection) => return Err(rejection),
             }
--- a/router/src/ingress/lookup.rs
+++ b/router/src/ingress/lookup.rs
@@ -37,7 +37,7 @@
     /// node.
     ///
     /// # Errors
-    /// The key resolves to nothing, or no directory node answers in time.
+    /// The key resolves to nothing, or no directory node responds in time.
     pub(super) async fn look_up(
         &self,
         state: &mut RequestStateMachine,
@@ -233,13 +233,13 @@
     service: &str,
 ) -> LookupResponse {
     let region = &router.settings.region;
-    let answer = router
+    let response = router
         .pending_lookups
         .resolve(tenant, service, region, RESOLVE_TIMEOUT)
         .await;
-    if let LookupResponse::Found(mapping) = &answer {
+    if let LookupResponse::Found(mapping) = &response {
         regional_cache::insert(router, mapping);
         permit.publish(mapping);
     }
-    answer
+    response
 }
--- a/router/src/ingress/respond.rs
+++ b/router/src/ingress/respond.rs
@@ -34,9 +34,9 @@
 }
 
 /// The response of an engine, before it is decorated.
-pub fn from_engine(answer: dispatch::EngineResponse) -> Response {
-    let mut response = hyper::Response::new(Body::wrap(answer.body));
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = answer.headers;
+pub fn from_engine(engine_response: dispatch::EngineResponse) -> Response {
+    let mut response = hyper::Response::new(Body::wrap(engine_response.body));
+    *response.status_mut() = engine_response.status;
+    *response.headers_mut() = engine_response.headers;
     response
 }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -1,10 +1,15 @@
-//! The router's own program: flags and a JSON file, callers and engines by the
-//! project's own interface.
+//! The project's own router program: settings by flags and a JSON file; clients and
+//! engines by the project's own HTTP interface.
 
 use router::{Extensions, Settings, ENGINE_SLOT_WAIT_MS};
 use settings::{setting, Setting, SettingsReader};
 use std::time::Duration;
 
+/// How often it sends a heartbeat to its directory node.
+const HEARTBEAT_INTERVAL_MS: u64 = 350;
+/// How long tasks may take to end after the router has stopped.
+const RUNTIME_SHUTDOWN: Duration = Duration::from_millis(200);
+
 const SETTINGS: &[Setting] = &[
     setting(
         "name",
@@ -12,19 +17,14 @@
         "this router's name, unique in the cluster",
         None,
     ),
-    setting("region", "NAME", "the region it stands in", None),
-    setting("zone", "NAME", "the zone it stands in", None),
-    setting("door", "IP:PORT", "where callers reach it", None),
-    setting(
-        "address",
-        "IP:PORT",
-        "where the routers of its region reach it",
-        None,
-    ),
+    setting("region", "NAME", "the region it is in", None),
+    setting("zone", "NAME", "the zone it is in", None),
+    setting("door", "IP:PORT", "where clients reach it", None),
+    setting("address", "IP:PORT", "where other routers reach it", None),
     setting(
         "listen",
         "IP:PORT",
-        "where it listens for them, if not there",
+        "where it listens for other routers, if they reach it elsewhere",
         Some(""),
     ),
     setting("desk", "IP:PORT", "where operators reach it", None),
@@ -32,55 +32,55 @@
     setting(
         "own-cache",
         "COUNT",
-        "mappings in its own cache, at the most",
+        "mappings in its local cache, at the most",
         Some("512"),
     ),
     setting(
         "share",
         "COUNT",
-        "mappings in its share of the region's cache",
+        "mappings in its part of the region's cache, at the most",
         Some("16384"),
     ),
     setting(
         "body",
         "BYTES",
-        "the longest body that is taken",
+        "the longest request body",
         Some("16777216"),
     ),
     setting(
         "jobs",
         "COUNT",
-        "jobs under way at a time, at the most",
+        "requests in flight, at the most",
         Some("4096"),
     ),
     setting(
         "leave-ms",
         "MS",
-        "how long it still takes jobs after it is told to stop",
+        "how long it still accepts requests after the signal to stop",
         Some("1500"),
     ),
     setting(
         "stop-ms",
         "MS",
-        "how long streams may finish in when it stops",
+        "how long streams may take to finish after that",
         Some("20000"),
     ),
     setting(
         "head-ms",
         "MS",
-        "how long the part of a body with the key may take",
+        "how long the part of a body with the routing key may take",
         Some("10000"),
     ),
     setting(
         "quota-ms",
         "MS",
-        "how long a job waits for the leader's word on its quota",
+        "how long a request waits for its tenant's quota",
         Some("2500"),
     ),
     setting(
         "lease-grace-ms",
         "MS",
-        "how long it goes on past its lease while it reaches no directory node",
+        "how long it goes on past its lease's end while no directory node renews it",
         Some("0"),
     ),
     setting(
@@ -92,9 +92,29 @@
 ];
 
 fn main() {
+    let (settings, log_level) = read_settings();
+    if let Err(error) = run(settings, &log_level) {
+        eprintln!("router: {error:#}");
+        std::process::exit(1);
+    }
+}
+
+fn run(settings: Settings, log_level: &str) -> anyhow::Result<()> {
+    telemetry::logging::init("router", &settings.name, log_level)?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()?;
+    runtime.block_on(router::run(settings, Extensions::default()))?;
+    runtime.shutdown_timeout(RUNTIME_SHUTDOWN);
+    Ok(())
+}
+
+/// The settings and the log level; ends the process with all complaints where any is
+/// wrong.
+fn read_settings() -> (Settings, String) {
     let mut reader = SettingsReader::read(
         "router",
-        "A rushport router: takes callers' jobs and streams them to engines.",
+        "A rushport router: accepts clients' requests and streams them to engines.",
         SETTINGS,
     );
     let address = reader.address("address");
@@ -119,31 +139,19 @@
         buffered_body_bytes: 0,
         resolves_by_key_only: false,
         lease_grace_ms: reader.count("lease-grace-ms", 0, 600_000),
-        heartbeat_interval_ms: 350,
+        heartbeat_interval_ms: HEARTBEAT_INTERVAL_MS,
     };
-    let level = reader.text("level");
+    let log_level = reader.text("level");
     if settings.seeds.is_empty() {
         reader.reject(
             "seeds",
-            "a router needs the address of a directory node at least",
+            "a router needs the address of at least one directory node",
         );
     }
     let (door, desk) = (settings.ingress_address, settings.operator_address);
     if door == settings.peer_address || door == desk || settings.peer_address == desk {
-        reader.reject("door", "door, address and desk can't be the same");
+        reader.reject("door", "door, address and desk must differ");
     }
     reader.exit_if_invalid();
-    let run = || -> anyhow::Result<()> {
-        telemetry::logging::init("router", &settings.name, &level)?;
-        let runtime = tokio::runtime::Builder::new_multi_thread()
-            .enable_all()
-            .build()?;
-        runtime.block_on(router::run(settings, Extensions::default()))?;
-        runtime.shutdown_timeout(Duration::from_millis(200));
-        Ok(())
-    };
-    if let Err(error) = run() {
-        eprintln!("router: {error:#}");
-        std::process::exit(1);
-    }
+    (settings, log_level)
 }
--- a/router/src/peer_links.rs
+++ b/router/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections to other routers: cache lookups with their answers, and
+//! Outgoing connections to other routers: cache lookups with their responses, and
 //! frames that need none. Opened on first use, one for each router.
 
 use crate::conversation_error::ConversationError;
@@ -17,12 +17,12 @@
 /// The longest frame that a router accepts from another one.
 pub const PEER_FRAME_CAP_BYTES: usize = 1 << 20;
 
-/// Cache lookups without an answer yet, by their number.
+/// Cache lookups without a response yet, by their number.
 type OpenLookups = Arc<Mutex<HashMap<u64, oneshot::Sender<Option<Mapping>>>>>;
 
-/// The other router gave no answer in time, or can't be reached.
+/// The other router did not respond in time, or can't be reached.
 #[derive(Debug, thiserror::Error)]
-#[error("no answer from the other router")]
+#[error("no response from the other router")]
 pub struct PeerSilent;
 
 /// A connection, as its users hold it. It ends when all of these are dropped.
@@ -57,10 +57,10 @@
     }
 
     /// Looks a key up in another router's part of the region's cache. `epoch` is
-    /// that of the view here; a router that is behind it answers with nothing.
+    /// that of the view here; a router that is behind it responds with no mapping.
     ///
     /// # Errors
-    /// No answer within `timeout`: there may or may not be a mapping.
+    /// No response within `timeout`: there may or may not be a mapping.
     pub async fn look_up(
         &self,
         to: SocketAddr,
@@ -72,15 +72,15 @@
         let number = rand::random();
         let (sender, receiver) = oneshot::channel();
         link.open_lookups.lock().insert(number, sender);
-        // Where the queue is full, the answer is waited for in vain.
+        // Where the queue is full, the lookup times out.
         drop(link.queue.try_send(Frame::CacheLookup {
             request_id: number,
             key: key.into(),
             epoch,
         }));
-        let answer = tokio::time::timeout(timeout, receiver).await;
+        let response = tokio::time::timeout(timeout, receiver).await;
         link.open_lookups.lock().remove(&number);
-        match answer {
+        match response {
             Ok(Ok(mapping)) => Ok(mapping),
             Ok(Err(_)) | Err(_) => Err(PeerSilent),
         }
--- a/router/src/pending_lookups.rs
+++ b/router/src/pending_lookups.rs
@@ -1,4 +1,4 @@
-//! Mappings asked of a directory node by their key alone, over the session.
+//! Lookups of mappings at a directory node by the routing key alone, over the session.
 
 use parking_lot::Mutex;
 use protocol::{Frame, LookupResponse};
@@ -10,7 +10,7 @@
 
 use crate::conversation_error::ConversationError;
 
-/// A lookup without an answer yet.
+/// A lookup without a response yet.
 struct PendingLookup {
     key: String,
     waiter: oneshot::Sender<LookupResponse>,
@@ -22,9 +22,9 @@
     queue: mpsc::Sender<Frame>,
 }
 
-/// Lookups under way, and the way out while there is a session. Invariant: a number
-/// is used once in the life of this process, and an answer is passed on only while
-/// its lookup waits, and only if it is about that lookup's key.
+/// Lookups in flight, and the outgoing queue while there is a session. Invariant: a
+/// number is used once in the life of this process, and a response is passed on only
+/// while its lookup waits, and only if it is about that lookup's key.
 #[derive(Default)]
 pub struct PendingLookups {
     pending: Mutex<HashMap<u64, PendingLookup>>,
@@ -82,24 +82,24 @@
             self.pending.lock().remove(&number);
             return LookupResponse::Unavailable;
         }
-        let answer = tokio::time::timeout(timeout, receiver).await;
+        let response = tokio::time::timeout(timeout, receiver).await;
         self.pending.lock().remove(&number);
-        answer
+        response
             .ok()
-            .and_then(|answer| answer.ok())
+            .and_then(|response| response.ok())
             .unwrap_or(LookupResponse::Unavailable)
     }
 
-    /// Passes an answer to the lookup that waits for it. One that is late or repeated
-    /// is passed over.
+    /// Passes a response to the lookup that waits for it. One that is late or repeated
+    /// is ignored.
     ///
     /// # Errors
-    /// The answer is about another key than its lookup: the node can't be relied on.
-    pub fn complete(&self, number: u64, answer: LookupResponse) -> Result<(), ConversationError> {
+    /// The response is about another key than its lookup: the node can't be relied on.
+    pub fn complete(&self, number: u64, response: LookupResponse) -> Result<(), ConversationError> {
         let Some(lookup) = self.pending.lock().remove(&number) else {
             return Ok(());
         };
-        if let LookupResponse::Found(mapping) = &answer {
+        if let LookupResponse::Found(mapping) = &response {
             if mapping.routing_key() != lookup.key {
                 return Err(ConversationError::WrongKey {
                     expected: lookup.key,
@@ -107,8 +107,8 @@
                 });
             }
         }
-        // Whoever asked may have left meanwhile.
-        drop(lookup.waiter.send(answer));
+        // The waiting request may have been cancelled meanwhile.
+        drop(lookup.waiter.send(response));
         Ok(())
     }
 }
--- a/router/src/regional_cache.rs
+++ b/router/src/regional_cache.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An owner that takes longer to answer counts as a miss.
+/// An owner that takes longer to respond counts as a miss.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// The router that owns a key in the region's cache. `None`: this one.
@@ -31,11 +31,11 @@
         return router.cache_tiers.get_regional(key);
     };
     let epoch = router.view.borrow().epoch;
-    let answer = router
+    let response = router
         .peer_links
         .look_up(owner, key, epoch, LOOKUP_TIMEOUT)
         .await;
-    match answer {
+    match response {
         Ok(Some(mapping))
             if mapping.routing_key() == key && !router.cache_tiers.is_invalidated(&mapping) =>
         {
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -25,7 +25,7 @@
 const OUTGOING_FRAMES: usize = 256;
 /// Frames that were read and wait to be applied.
 const INCOMING_FRAMES: usize = 64;
-/// The mean pause between two rounds over all nodes.
+/// The pause between two passes over all nodes, before jitter.
 const RECONNECT_PAUSE_MS: u64 = 100;
 
 /// What outlives a single session.
@@ -106,7 +106,7 @@
     let (queue, mut outgoing) = mpsc::channel(OUTGOING_FRAMES);
     router.pending_lookups.connect(node, queue);
     router.metrics.increment("sessions");
-    // A task of its own reads, since a read that is given up midway loses a frame.
+    // A separate task reads, since a read that is cancelled midway loses a frame.
     let (frames, mut incoming) = mpsc::channel(INCOMING_FRAMES);
     let reading = tokio::spawn(async move {
         loop {
@@ -213,7 +213,7 @@
             }
             router.view.send_replace(Arc::clone(replica.view()));
             router.metrics.increment("pictures");
-            log::info!(epoch = epoch; "a picture is in force");
+            log::info!(epoch = epoch; "the snapshot is in force");
         }
         Frame::Change {
             base_epoch,
@@ -221,7 +221,7 @@
             events,
         } => {
             replica.apply_events(base_epoch, epoch, &events)?;
-            // The caches first: whoever sees the new view finds nothing void.
+            // The caches first: a request that sees the new view finds no invalid mapping.
             router.cache_tiers.invalidate(epoch, &events);
             router.view.send_replace(Arc::clone(replica.view()));
             router.metrics.increment("changes");
--- a/router/src/settings.rs
+++ b/router/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a router is told at its start, checked.
+//! A router's settings, checked by the program that reads them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
     pub zone: String,
     /// Where clients reach it.
     pub ingress_address: SocketAddr,
-    /// Where the other routers are told to reach it.
+    /// Where the other routers reach it.
     pub peer_address: SocketAddr,
     /// Where it listens for other routers, and the address that it connects from.
     pub peer_listen_address: SocketAddr,
@@ -37,8 +37,8 @@
     pub local_cache_entries: usize,
     /// Mappings in this router's part of the region's cache.
     pub regional_cache_entries: usize,
-    /// How long it still accepts requests after it is told to stop: clients that
-    /// were told of it before still come.
+    /// How long it still accepts requests after the signal to stop: clients may use a
+    /// list of routers that was fetched before.
     pub drain_period: Duration,
     /// How long streams may take to finish after that.
     pub shutdown_grace: Duration,
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -169,9 +169,9 @@
         .collect()
 }
 
-/// Stops in two steps: clients that were told of this router before still come for
-/// a while, and those who ask from now on are told of others; then it accepts
-/// nothing more, and streams may finish.
+/// Shuts down gracefully in two steps. While draining it still accepts requests, since
+/// clients may use a router list that was fetched before; new lists leave it out. Then
+/// it accepts no more, and streams may finish.
 async fn stop(router: &Router, ingress: &HttpListener) {
     log::info!("draining: requests are still accepted, new clients are sent elsewhere");
     router.is_draining.store(true, Ordering::Relaxed);
