--- a/consensus/tests/bootstrap.rs
+++ b/consensus/tests/bootstrap.rs
@@ -1,5 +1,5 @@
-//! A first seed founds, the others ask to be let in: in virtual time, over links
-//! of 55 ms, with a founder that ends while it is at it.
+//! The first seed bootstraps a cluster and the others join it: in virtual time, over links
+//! of 55 ms, with a first seed that crashes meanwhile.
 
 mod support;
 
@@ -9,10 +9,10 @@
 use support::members::member_on_machine;
 use support::random::Random;
 
-/// Guards: the first configuration is taken well before traffic begins; between
-/// two times at which a node is due it has nothing to do.
+/// Guards: the first configuration can be committed well before traffic begins; before a
+/// node's next deadline a tick has no effect.
 #[test]
-fn five_nodes_found_one_cluster_quickly() {
+fn five_nodes_bootstrap_one_cluster_quickly() {
     for seed in 1..=20 {
         let mut deployment = Deployment::new(5);
         for at in 0..5 {
@@ -32,10 +32,10 @@
     }
 }
 
-/// Guards: a founder that ends while it founds goes on from its disk; nobody
-/// else founds, and there is one cluster in the end.
+/// Guards: a first seed that crashes while it bootstraps continues from its disk; no other
+/// node bootstraps, and there is one cluster in the end.
 #[test]
-fn a_founder_that_crashes_goes_on() {
+fn a_first_seed_that_crashes_continues() {
     for seed in 0..60 {
         let mut deployment = Deployment::new(5);
         for at in 0..5 {
@@ -52,11 +52,11 @@
     }
 }
 
-/// Guards: one cluster is founded between the seeds whatever the weather: nodes
-/// begin up to a second and a half apart, any of them end and come back, the founder
-/// among them, and messages are lost while it lasts.
+/// Guards: the seeds form one cluster under any faults: nodes start up to a second and a
+/// half apart, any of them crash and restart, the first seed included, and messages are
+/// lost meanwhile.
 #[test]
-fn one_cluster_is_founded_in_every_weather() {
+fn one_cluster_is_bootstrapped_under_any_faults() {
     for seed in (1..=400u64).chain([1332]) {
         let mut deployment = Deployment::new(5);
         deployment.random = Random::new(seed);
@@ -84,10 +84,10 @@
     }
 }
 
-/// Guards: a node that lost its disk comes back under a new identity by itself;
-/// a late one is let in, too.
+/// Guards: a node that lost its disk rejoins under a new identity by itself; a late one
+/// joins, too.
 #[test]
-fn wiped_and_late_nodes_are_let_in() {
+fn wiped_and_late_nodes_join() {
     let mut deployment = Deployment::new(5);
     for at in 0..4 {
         deployment.schedule(1, Event::Start(at));
@@ -105,7 +105,7 @@
     deployment.run(9_500, |_| false);
     deployment.machines[0].persisted = PersistedState::default();
     deployment.machines[0].member = member_on_machine(0, 99);
-    // It does not found: that was at the first start.
+    // It does not bootstrap: that happens at the first start only.
     deployment.machines[0].incarnation += 1;
     let node = Node::new(
         99,
--- a/consensus/tests/catching_up/faults.rs
+++ b/consensus/tests/catching_up/faults.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// Guards: a receiver that dies at any moment of its catching up is caught up by
-/// its next start, in a load, again and again.
+/// Guards: a receiver that crashes at any moment while it catches up, repeatedly and under
+/// load, catches up at its next start.
 #[test]
 fn a_receiver_that_crashes_while_it_catches_up_catches_up_at_its_next_start() {
     for uptime in (20..600).step_by(20) {
@@ -51,8 +51,8 @@
     }
 }
 
-/// Guards: a sender that loses leadership or dies in the middle is replaced by one
-/// that begins again.
+/// Guards: a sender that loses leadership or crashes while it sends is replaced by the new
+/// leader, which begins again.
 #[test]
 fn a_sender_that_loses_leadership_is_replaced() {
     for moment in (10..500).step_by(35) {
@@ -72,7 +72,7 @@
                 true => cluster.crash(leader),
                 false => cluster.transfer_leadership(),
             }
-            // Every voter but the dead one is caught up by the new leader.
+            // Every voter but the crashed one is caught up by the new leader.
             let took = cluster.run_until(4_000, |cluster| {
                 cluster.settled_leader().is_some_and(|now| now != leader)
                     && cluster.is_up_to_date(at)
@@ -113,8 +113,8 @@
     lead(&mut cluster, former);
 }
 
-/// Guards: a member that comes back with an older copy of its disk, and denies what
-/// it had claimed before, is caught up by the same leader all the same.
+/// Guards: a member that restarts with an older copy of its disk, and rejects what it had
+/// acknowledged before, is caught up by the same leader all the same.
 #[test]
 fn a_member_with_an_older_copy_of_its_disk_catches_up() {
     for changes in [20, 300] {
@@ -133,8 +133,8 @@
     }
 }
 
-/// Guards: a lost message is made good by the next heartbeat, and what follows it
-/// is not sent once for each message that was on its way.
+/// Guards: a lost message is repaired by the next heartbeat, and the entries after it are
+/// not sent once for each message in flight.
 #[test]
 fn a_lost_message_is_sent_again_once() {
     let conditions = Conditions {
@@ -187,8 +187,8 @@
     }
 }
 
-/// Guards: whatever came, once the links and disks are well again every member
-/// holds the newest state soon, and each of them can lead.
+/// Guards: whatever the faults were, once links and disks work again every member soon has
+/// the newest state, and each of them can lead.
 #[test]
 fn every_member_catches_up_after_random_faults() {
     let mut longest = 0;
--- a/consensus/tests/catching_up/harness.rs
+++ b/consensus/tests/catching_up/harness.rs
@@ -1,4 +1,4 @@
-//! What the tests of catching up share.
+//! Harness of the tests of catching up.
 
 use crate::support::cluster::Cluster;
 use crate::support::traffic::Traffic;
@@ -18,7 +18,7 @@
         .expect("there are others")
 }
 
-/// Puts a follower so many changes behind, and ends its process meanwhile.
+/// Stops a follower while this many changes are committed.
 pub fn put_behind(cluster: &mut Cluster, changes: u64) -> usize {
     let behind = follower(cluster);
     cluster.crash(behind);
@@ -28,8 +28,8 @@
     behind
 }
 
-/// Starts a member and waits until it has applied all that is acknowledged; the
-/// time that took and what was sent to it meanwhile.
+/// Starts a member and waits until it has applied everything acknowledged. Returns how
+/// long that took, in milliseconds, and what was sent to it meanwhile.
 pub fn catch_up(cluster: &mut Cluster, at: usize, limit_ms: u64) -> (u64, Traffic) {
     cluster.traffic[at] = Traffic::default();
     cluster.start(at);
@@ -43,8 +43,8 @@
     (took, cluster.traffic[at])
 }
 
-/// The leader asks this member to take over, and it does, with the newest state.
-/// The load ends before: a change on its way would put another member ahead.
+/// Transfers leadership to this member, which must lead with the newest state. The load
+/// ends before: a change in flight would put another member ahead.
 pub fn lead(cluster: &mut Cluster, at: usize) {
     cluster.stop_proposals();
     cluster.run(500);
--- a/consensus/tests/catching_up/leadership.rs
+++ b/consensus/tests/catching_up/leadership.rs
@@ -1,10 +1,11 @@
-//! Who is behind does not lead, and who leads answers with everything acknowledged.
+//! A member that is behind does not lead, and a leader answers with everything
+//! acknowledged.
 
 use crate::harness::*;
 use crate::support::cluster::{Cluster, Conditions};
 
-/// Guards: one with old state is not elected, and who is elected answers with all
-/// that was acknowledged.
+/// Guards: a member with old state is not elected, and the one elected answers with
+/// everything that was acknowledged.
 #[test]
 fn a_member_with_old_state_does_not_lead() {
     for seed in 1..=20 {
@@ -43,8 +44,8 @@
     }
 }
 
-/// Guards: a new leader answers no read before it knows how far its predecessors
-/// had come: it may have heard of the last commit late, or not at all.
+/// Guards: a new leader answers no read before it knows its predecessors' commit index: it
+/// may have heard of the last commit late, or not at all.
 #[test]
 fn a_new_leader_answers_reads_with_all_that_was_acknowledged() {
     for seed in 1..=20 {
--- a/consensus/tests/catching_up/main.rs
+++ b/consensus/tests/catching_up/main.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Guards: a blank machine is let in, holds the newest state and is a voter well
-/// within half of `catch_up_s`, also when the first snapshot is lost.
+/// Guards: a blank machine joins, has the newest state and is a voter well within half of
+/// `catch_up_s`, also when the first snapshot is lost.
 #[test]
 fn a_blank_machine_catches_up_and_becomes_a_voter() {
     for voters in [4, 8] {
@@ -66,8 +66,8 @@
     }
 }
 
-/// Guards: a member whose disk is full for a while, or slow, catches up once it is
-/// well; it claims nothing meanwhile, and the others go on.
+/// Guards: a member whose disk is full for a while, or slow, catches up once the disk
+/// works; it acknowledges nothing meanwhile, and the others go on.
 #[test]
 fn a_member_whose_disk_was_full_or_slow_catches_up() {
     for sync_ms in [3, 300, 2_000] {
@@ -92,7 +92,7 @@
                 match_index.is_some_and(|(_, match_index)| match_index >= cluster.acknowledged)
                     && cluster.is_up_to_date(at)
             };
-            // A write under way, and a disk's next try, come first.
+            // A write in progress, and the next attempt to reopen the log, come first.
             let took = cluster.run_until(6_000, is_synced);
             println!("sync {sync_ms} ms, full {is_full}: {took:?} ms");
             let limit = sync_ms + 1_000 + CATCH_UP_MS;
--- a/consensus/tests/model/actions.rs
+++ b/consensus/tests/model/actions.rs
@@ -11,7 +11,7 @@
 use crate::history::broken;
 use crate::server::Server;
 
-/// Who founds.
+/// The node that bootstraps the cluster.
 const FIRST_SEED: NodeId = 1;
 
 #[derive(Clone)]
@@ -38,14 +38,14 @@
         removed: NodeId,
     },
     TransferLeadership(NodeId),
-    /// What was written first may have reached the disk without word of it.
+    /// The oldest writes may have reached the disk unreported.
     CrashAndRestart {
         server: NodeId,
         writes_kept: usize,
     },
     LoseDisk(NodeId),
     TakeSnapshot(NodeId),
-    /// The first seed founds the cluster, while it is blank.
+    /// The first seed bootstraps the cluster, while it is blank.
     Bootstrap(NodeId),
 }
 
@@ -92,7 +92,7 @@
             }
             Action::LoseDisk(at) => write!(f, "lose disk of {at}"),
             Action::TakeSnapshot(at) => write!(f, "snapshot at {at}"),
-            Action::Bootstrap(at) => write!(f, "{at} founds"),
+            Action::Bootstrap(at) => write!(f, "bootstrap at {at}"),
         }
     }
 }
--- a/consensus/tests/model/cluster.rs
+++ b/consensus/tests/model/cluster.rs
@@ -15,7 +15,7 @@
 
 pub const CLUSTER: u64 = 7;
 
-/// Time in the model: whatever was heard before it passes counts as silent.
+/// Time in the model: a member last heard before it passes counts as silent.
 pub const EPOCH_MS: u64 = 1_000_000;
 
 /// One millisecond is the shortest election timeout that there is: within an
@@ -40,7 +40,7 @@
     }
 }
 
-/// How much of the world is taken in single steps.
+/// How fine the steps are.
 #[derive(Clone, Copy, PartialEq, Debug, Hash)]
 pub enum Grain {
     /// Each message and each sync by itself.
@@ -255,8 +255,7 @@
         Ok(())
     }
 
-    /// A granted vote is on disk before it is let out, and so is the term of
-    /// any message.
+    /// A granted vote is on disk before it is sent, and so is the term of any message.
     fn send(&mut self, server: &Server, message: Message) -> Result<(), Violation> {
         let on_disk = server.disk.hard_state;
         let is_pledged = match message.body {
@@ -288,7 +287,7 @@
         Ok(())
     }
 
-    /// What is acknowledged is on the disks of a majority of the voters in force.
+    /// An acknowledged entry is on the disks of a majority of the voters in force.
     fn check_acknowledged(&self, leader: &Server, entry: &Entry) -> Result<(), Violation> {
         let members = leader.node.members();
         let synced = members.voters.iter().filter(|voter| {
--- a/consensus/tests/model/history.rs
+++ b/consensus/tests/model/history.rs
@@ -57,7 +57,7 @@
             .map(|(entry, _)| entry)
     }
 
-    /// A snapshot says what the entries up to it say.
+    /// A snapshot equals the result of the entries up to it.
     pub fn restored(&self, by: NodeId, snapshot: &Snapshot) -> Result<(), Violation> {
         let Some(last) = self.committed.get(snapshot.index as usize - 1) else {
             return broken(
--- a/consensus/tests/model/main.rs
+++ b/consensus/tests/model/main.rs
@@ -34,7 +34,7 @@
     );
 }
 
-/// For CI: every run of so many actions, then random walks that go deeper.
+/// For CI: every sequence of this many actions, then random walks that go deeper.
 fn bounded(name: &str, depth: usize) {
     let scenario = scenarios::named(name, Size::Small);
     let limits = Limits {
--- a/consensus/tests/model/properties.rs
+++ b/consensus/tests/model/properties.rs
@@ -97,7 +97,7 @@
     Ok(())
 }
 
-/// No identity stands twice: a retired one is no voter, a learner neither.
+/// No identity occurs twice: a retired one is neither voter nor learner.
 fn check_listed_once(members: &Membership) -> Result<(), Violation> {
     let mut listed: Vec<NodeId> = members.all().map(|member| member.identity).collect();
     listed.extend(&members.retired);
@@ -108,8 +108,8 @@
     Ok(())
 }
 
-/// A learner is made a voter when its disk holds the cluster and the entry
-/// that let it in: a blank voter counts for a majority and can't vote.
+/// A learner becomes a voter only when its disk holds the cluster and the entry that added
+/// it: a blank voter counts for the majority and can't vote.
 fn check_promoted(
     cluster: &Cluster,
     server: &Server,
@@ -146,7 +146,7 @@
     }
     let term = server.node.term();
     let found = memberships(&server.memory);
-    // A node that comes back has yet to learn what is committed.
+    // A restarted node has yet to learn the commit index.
     let committed = cluster.history.committed.len() as u64;
     let open = found
         .iter()
@@ -176,7 +176,7 @@
 }
 
 /// Leader Completeness, one election ahead: if every node crashed now, whoever
-/// could win the votes of a majority of its voters holds all that is committed.
+/// could win the votes of a majority of its voters would hold all committed entries.
 fn check_leader_completeness(cluster: &Cluster) -> Result<(), Violation> {
     for candidate in &cluster.servers {
         let log = &candidate.disk;
--- a/consensus/tests/model/scenarios.rs
+++ b/consensus/tests/model/scenarios.rs
@@ -155,8 +155,8 @@
     cluster
 }
 
-/// Three voters are all that is wanted, and learner 4 has caught up: it stands
-/// ready for when one of them falls silent.
+/// Three voters are the target, and learner 4 has caught up: it can replace one of them
+/// that falls silent.
 fn with_ready_learner() -> Cluster {
     let mut cluster = led(Grain::Calls, 3, 1, 3);
     cluster.left = Budget {
@@ -183,7 +183,7 @@
     cluster
 }
 
-/// Nobody has founded anything.
+/// No cluster was bootstrapped.
 fn blank() -> Cluster {
     let logs = (0..3).map(|_| Log::default()).collect();
     Cluster::new(Grain::Messages, timing(3), logs)
--- a/consensus/tests/model/transitions.rs
+++ b/consensus/tests/model/transitions.rs
@@ -129,7 +129,7 @@
         let is_call = self.grain == Grain::Calls && is_request(&message.body);
         self.step(receiver, Input::Received(message.clone()))?;
         if is_call && !is_answer_delayed {
-            // A request of the asked one's own (it may have begun to lead) stays.
+            // A request of the receiver's own (it may lead by now) stays in the network.
             let (asker, asked) = (message.from, message.to);
             let is_answer = |m: &Message| m.from == asked && m.to == asker && !is_request(&m.body);
             while let Some(answer) = self.take(is_answer) {
@@ -152,7 +152,7 @@
         crate::properties::check_state(self, at)
     }
 
-    /// The machine comes back blank, under its name and a new identity.
+    /// The machine restarts blank, under its name and a new identity.
     fn lose_disk(&mut self, at: usize) {
         let old = &self.servers[at];
         let (identity, name) = (old.identity(), old.member.name.clone());
--- a/consensus/tests/partition/cluster.rs
+++ b/consensus/tests/partition/cluster.rs
@@ -1,5 +1,5 @@
-//! Several real nodes in virtual time, with a network that can be cut, disks in
-//! memory, and the rules that are checked at every step.
+//! Several real nodes in virtual time, with a network that can be partitioned, disks in
+//! memory, and the invariants that are checked at every step.
 
 use crate::support::members::{member, membership};
 use crate::support::persisted::apply_write;
@@ -11,11 +11,11 @@
 pub const LINK_DELAY_MS: u64 = 5;
 pub const TICK_MS: u64 = 5;
 pub const PARTITION_MS: u64 = 20_000;
-/// Longer than an election with a few tries takes.
+/// Longer than an election with a few attempts takes.
 pub const ELECTION_MS: u64 = 5_000;
 
-/// What a cut network does with a message: drop it, or hand it over when the cut
-/// is over, as a connection that outlives it does.
+/// What a partition does with a message: drop it, or deliver it when the partition is
+/// over, as a connection that outlives the partition does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Loss {
     Dropped,
@@ -43,7 +43,7 @@
     },
 ];
 
-/// A question or proposal that was put to a node.
+/// A read or proposal that was sent to a node.
 pub struct Request {
     pub node: u64,
     pub at: u64,
@@ -55,12 +55,12 @@
     pub node: Node,
     pub disk: PersistedState,
     pub is_paused: bool,
-    /// What came in while it was frozen.
+    /// Messages that arrived while it was paused.
     pub inbox: VecDeque<Message>,
 }
 
 /// Invariants, checked at every step: one leader a term; one entry an index; a
-/// read index is never below what was acknowledged before it was requests for.
+/// read index is never below what was acknowledged before the read.
 pub struct Cluster {
     pub now: u64,
     pub order: u64,
@@ -75,7 +75,7 @@
     pub acknowledged: LogIndex,
     pub applied: BTreeMap<LogIndex, Entry>,
     pub leaders: BTreeMap<Term, u64>,
-    /// Tokens with an outcome, by which.
+    /// Tokens of requests that completed, and of those that were rejected.
     pub completed: BTreeSet<Token>,
     pub rejected: BTreeSet<Token>,
 }
@@ -158,7 +158,7 @@
         self.machines.keys().copied().collect()
     }
 
-    /// Who leads in the highest term, of those outside a cut.
+    /// The leader with the highest term, of those outside the partition.
     pub fn leader_outside(&self, cut: Option<u64>) -> Option<u64> {
         let leads = |identity: &u64| {
             self.node(*identity).role() == Role::Leader && !self.machines[identity].is_paused
@@ -298,7 +298,7 @@
         }
     }
 
-    /// The cut is over; what was held back arrives now, before anything newer.
+    /// Ends the partition; delayed messages arrive now, before anything newer.
     pub fn heal(&mut self) {
         self.cut_links.clear();
         for message in std::mem::take(&mut self.delayed) {
@@ -306,7 +306,7 @@
         }
     }
 
-    /// All nodes hold the same, with everything that was acknowledged.
+    /// All nodes converge, with everything that was acknowledged.
     pub fn assert_converges(&mut self) {
         self.run(ELECTION_MS);
         let leader = self.leader();
--- a/consensus/tests/partition/main.rs
+++ b/consensus/tests/partition/main.rs
@@ -1,6 +1,6 @@
-//! Nodes that are cut off for twenty seconds, one way or both, frozen, or
-//! restarted meanwhile: several real nodes in virtual time, with questions and
-//! proposals put to every side of the cut throughout.
+//! Nodes that are partitioned for twenty seconds, one way or both, paused, or restarted
+//! meanwhile: several real nodes in virtual time, with reads and proposals at every side
+//! of the partition throughout.
 
 mod cluster;
 #[path = "../support/mod.rs"]
@@ -10,7 +10,7 @@
 use consensus::node::{Input, Role, Timing, Token};
 use consensus::Message;
 
-/// Every side of every cut, with messages dropped and with messages that come late.
+/// Every direction of partition, with messages dropped and with messages delayed.
 fn for_each_partition(mut run: impl FnMut(Cluster, Partition, &str)) {
     for seed in [1, 200, 3_000] {
         for count in [3, 5] {
@@ -24,10 +24,10 @@
     }
 }
 
-/// Guards: a leader that is cut off, whichever way, confirms nothing and
-/// acknowledges nothing from the moment of the cut on, also not by answers that
-/// reach it late; it steps down within an election's time; the others go on; what
-/// it took is never lost to them, and its return disturbs nobody.
+/// Guards: a partitioned leader, in whichever direction, confirms no read and acknowledges
+/// nothing from the partition on, also not by responses that reach it late; it steps down
+/// within an election timeout; the others go on and lose nothing that it acknowledged, and
+/// its return does not disturb them.
 #[test]
 fn a_leader_that_is_cut_off_serves_nothing_old() {
     for_each_partition(|mut cluster, partition, what| {
@@ -81,8 +81,8 @@
     });
 }
 
-/// Guards: a follower that is cut off, whichever way, for however long, neither
-/// answers for the leader nor unseats it when it is back.
+/// Guards: a partitioned follower, in whichever direction and for however long, neither
+/// answers in the leader's place nor makes it step down when it is back.
 #[test]
 fn a_follower_that_is_cut_off_disturbs_nobody() {
     for_each_partition(|mut cluster, partition, what| {
@@ -115,8 +115,9 @@
     });
 }
 
-/// Guards: a follower that misses its leader alone, and is heard by all the others,
-/// neither unseats the leader nor raises the term, with its log as long as theirs.
+/// Guards: a follower that loses contact with its leader alone, and is heard by all the
+/// others, neither makes the leader step down nor raises the term, with a log as long as
+/// theirs.
 #[test]
 fn a_follower_that_misses_the_leader_alone_disturbs_nobody() {
     for_each_partition(|mut cluster, partition, what| {
@@ -141,14 +142,14 @@
     });
 }
 
-/// Guards: restarts in the midst of a cut, of the node that is cut off and of those
-/// that went on without it, change nothing of this.
+/// Guards: the same under restarts during a partition, of the partitioned node and of
+/// those that went on without it.
 #[test]
 fn restarts_within_a_cut_bring_nothing_old_back() {
     for_each_partition(|mut cluster, partition, what| {
         let old = cluster.leader();
         cluster.partition(old, partition);
-        // Entries that only the cut-off leader has, on its disk.
+        // Entries that only the partitioned leader has, on its disk.
         let mut at_old: Vec<Token> = (0..5).map(|_| cluster.propose(old)).collect();
         cluster.run(ELECTION_MS);
         for _ in 0..3 {
@@ -171,16 +172,15 @@
     });
 }
 
-/// Guards: a leader that stood still for nine seconds and finds the answers from
-/// before in its sockets, ahead of any look at the clock, confirms nothing and
-/// acknowledges nothing.
+/// Guards: a leader that was paused for nine seconds and finds earlier responses in its
+/// sockets, before it reads the clock, confirms and acknowledges nothing.
 #[test]
 fn a_leader_that_wakes_serves_nothing_old() {
     for seed in 1..=20 {
         for count in [3, 5] {
             let mut cluster = Cluster::new(count, seed, Loss::Dropped);
             let old = cluster.leader();
-            // A proposal's round is under way, so that answers to it will be queued.
+            // A proposal's round is in flight, so that responses to it will be queued.
             cluster.propose(old);
             cluster.run(TICK_MS);
             cluster.machines.get_mut(&old).expect("known").is_paused = true;
@@ -214,9 +214,8 @@
     }
 }
 
-/// Guards: a leader that has just been elected confirms nothing before it knows
-/// how far its predecessors came, whose last acknowledgements no follower had
-/// heard of.
+/// Guards: a newly elected leader confirms nothing before it knows its predecessors'
+/// commit index, whose last advance no follower had heard of.
 #[test]
 fn a_new_leader_confirms_nothing_before_it_knows_what_was_acknowledged() {
     for seed in 1..=20 {
@@ -228,7 +227,7 @@
                 while !cluster.completed.contains(&token) {
                     cluster.run(TICK_MS);
                 }
-                // Before a follower learns that the entry counts.
+                // Before a follower learns that the entry is committed.
                 cluster.queue.clear();
                 cluster.partition(old, PARTITIONS[0]);
                 let before = cluster.completed.len();
@@ -245,14 +244,14 @@
     }
 }
 
-/// Guards: answers to an earlier life of a leader, with rounds and indexes that are
-/// higher than its own now, count for nothing when it leads again.
+/// Guards: responses to an earlier incarnation of a leader, with rounds and indexes that
+/// are higher than its own now, count for nothing when it leads again.
 #[test]
 fn answers_of_an_earlier_term_count_for_nothing() {
     for seed in 1..=5 {
         let mut cluster = Cluster::new(3, seed, Loss::Delayed);
         let old = cluster.leader();
-        // Many rounds, so that the counter of a new life is far below.
+        // Many rounds, so that the counter of the next incarnation is far below.
         cluster.run(PARTITION_MS);
         cluster.partition(
             old,
--- a/consensus/tests/repair.rs
+++ b/consensus/tests/repair.rs
@@ -12,7 +12,7 @@
     remove_learner_after_ms: 60_000,
 };
 
-/// A member and how it stands, in short: its identity, its zone, and its state.
+/// State of a member in the tables below.
 #[derive(Clone, Copy)]
 enum Stands {
     Well,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_silent_voter_is_replaced_and_nothing_else_is_touched() {
+fn a_silent_voter_is_replaced_and_nothing_else_changes() {
     use MembershipChange::{DemoteVoter, PromoteLearner, RemoveLearner};
     use Stands::{Behind, Leaving, Silent, Well};
     type Members = Vec<(u64, &'static str, Stands)>;
@@ -172,10 +172,10 @@
     }
 }
 
-/// Guards: the loss of one region or zone leaves a majority wherever the members
-/// allow it; where they don't, nothing is moved about.
+/// Guards: the loss of one region or zone leaves a majority wherever the members allow
+/// it; where they don't, nothing changes.
 #[test]
-fn voters_are_spread_so_that_a_region_may_go() {
+fn voters_are_spread_so_that_a_region_may_be_lost() {
     use Stands::Well;
     let crowded = [
         (1, "a1", Well),
@@ -200,9 +200,9 @@
     );
 }
 
-/// Guards: the leader itself is never demoted, however it stands.
+/// Guards: the leader itself is never demoted, whatever its health.
 #[test]
-fn the_leader_stays() {
+fn the_leader_is_never_demoted() {
     use Stands::{Leaving, Well};
     let voters = [(1, "a1", Leaving), (2, "a1", Well)];
     let policy = RepairPolicy {
--- a/consensus/tests/replacement.rs
+++ b/consensus/tests/replacement.rs
@@ -7,8 +7,8 @@
 use support::deployment::{Deployment, Event, START_MS};
 use support::random::Random;
 
-/// A loss stops counting so long after its successor's start; the next may come then.
-/// Larger deployments have more time.
+/// The platform allows the next loss this long after the successor of the last one has
+/// started. Larger deployments have more time.
 fn catch_up_ms(machines: usize) -> u64 {
     if machines > 5 {
         6_000
@@ -32,8 +32,8 @@
     }
 }
 
-/// So many machines, all of them members, as many voters as they should have.
-fn founded(machines: usize, seed: u64) -> Deployment {
+/// A deployment of this many machines, all of them members, five of them voters.
+fn full_deployment(machines: usize, seed: u64) -> Deployment {
     let mut deployment = Deployment::new(machines);
     deployment.random = Random::new(seed);
     deployment.timing = timing(machines);
@@ -55,7 +55,7 @@
     deployment.run(end, |_| false);
 }
 
-/// The leader takes a command and it is applied, within so long.
+/// Whether the leader accepts a command and it is applied within this many milliseconds.
 fn commits(deployment: &mut Deployment, within: u64) -> bool {
     let (before, end) = (deployment.applied, now(deployment) + within);
     let mut proposed = false;
@@ -66,8 +66,8 @@
     deployment.applied > before
 }
 
-/// Takes a machine away for good and starts its successor `pause` later. Returns how
-/// long after the successor's start all voters are up again.
+/// Stops a machine for good and starts its successor `pause` milliseconds later. Returns
+/// how long after the successor's start all voters are up again.
 fn replace(deployment: &mut Deployment, gone: usize, pause: u64, within: u64) -> Option<u64> {
     deployment.schedule(1, Event::Stop(gone));
     let successor = deployment.add_machine(gone);
@@ -81,7 +81,7 @@
         .map(|at| at - started)
 }
 
-/// The machine that leads, a voter that follows, or a learner.
+/// The leader's machine, or any machine that is up.
 fn pick(deployment: &mut Deployment, seed: u64) -> usize {
     let leader = deployment.leader().expect("one leads");
     let up: Vec<usize> = (0..deployment.machines.len())
@@ -93,7 +93,7 @@
     }
 }
 
-/// So many changes of the size of a configuration, with snapshots as the daemon takes
+/// Proposes changes of the size of a configuration, with snapshots as the daemon takes
 /// them.
 fn change(deployment: &mut Deployment, changes: usize) {
     for _ in 0..changes {
@@ -103,16 +103,16 @@
     }
 }
 
-/// Guards: users' worst days. Six machines of five are replaced one after the other at
-/// other names and addresses, each as soon as the loss before it stops counting; after
-/// each of them a change is acknowledged, and all voters are up again in half of the
-/// time that there is, also when there are hundreds of changes behind.
+/// Guards: the users' worst days. Six machines are replaced one after the other, by others
+/// with other names and addresses, each as soon as the platform allows it; after each
+/// replacement a change is acknowledged, and all voters are up again in half of the time
+/// that is allowed, also when the successor is hundreds of changes behind.
 #[test]
 fn any_number_of_machines_is_replaced_one_after_the_other() {
     for (machines, changes, seeds) in [(5, 3, 1..=30u64), (5, 300, 1..=5), (9, 3, 1..=10)] {
         let (mut worst, time) = (0, catch_up_ms(machines));
         for seed in seeds {
-            let mut deployment = founded(machines, seed);
+            let mut deployment = full_deployment(machines, seed);
             for turn in 0..6 {
                 change(&mut deployment, changes);
                 let gone = pick(&mut deployment, seed + turn);
@@ -125,7 +125,7 @@
                     commits(&mut deployment, 1_500),
                     "{machines}/{seed}/{turn}: no change is taken"
                 );
-                // Just then the next one may go.
+                // From then on the next loss is allowed.
                 run_for(&mut deployment, time.saturating_sub(took + 1_500));
             }
         }
@@ -136,12 +136,12 @@
     }
 }
 
-/// Guards: a planned replacement. The newcomer is there first, the old one says that it
-/// stops and may do so once the newcomer has taken its place.
+/// Guards: a planned replacement. The successor joins first; the old machine announces its
+/// stop and may stop once the successor has become a voter in its place.
 #[test]
 fn a_machine_that_leaves_is_replaced_before_it_stops() {
     for seed in 1..=10 {
-        let mut deployment = founded(5, seed);
+        let mut deployment = full_deployment(5, seed);
         for turn in 0..4 {
             let leader = deployment.leader().expect("one leads");
             let leaving = (0..deployment.machines.len())
@@ -176,15 +176,15 @@
     }
 }
 
-/// Guards: a leaving member that holds the only copy. It may not stop while the others
-/// lack what was acknowledged with it.
+/// Guards: a leaving member that a majority needs. It may not stop while the other voters
+/// lack entries that were acknowledged with it.
 #[test]
-fn who_holds_what_others_lack_does_not_stop() {
-    let mut deployment = founded(5, 3);
+fn a_member_with_entries_that_others_lack_may_not_stop() {
+    let mut deployment = full_deployment(5, 3);
     let leader = deployment.leader().expect("one leads");
     let followers: Vec<usize> = (0..5).filter(|at| *at != leader).collect();
     let identity = |deployment: &Deployment, at: usize| deployment.machines[at].member.identity;
-    // Two followers get nothing any more: what counts is on the leader and two others.
+    // Two followers receive nothing: committed entries are on the leader and two others.
     for lagging in &followers[..2] {
         let link = (
             identity(&deployment, leader),
@@ -209,11 +209,11 @@
     assert!(deployment.confirmed.contains(&5), "all hold it by now");
 }
 
-/// Guards: a demoted node is a learner like any other, finds its way back in, and may
-/// become a voter again; one that was forgotten asks to be let in.
+/// Guards: a demoted node is a learner like any other and may become a voter again; one
+/// that was removed asks to join.
 #[test]
-fn who_was_demoted_or_forgotten_comes_back() {
-    let mut deployment = founded(6, 4);
+fn a_demoted_or_removed_member_comes_back() {
+    let mut deployment = full_deployment(6, 4);
     let leader = deployment.leader().expect("one leads");
     let voters: Vec<u64> = {
         let node = deployment.machines[leader].node.as_ref().expect("it is up");
--- a/consensus/tests/snapshots.rs
+++ b/consensus/tests/snapshots.rs
@@ -1,6 +1,6 @@
-//! Snapshots: how much log lies between two of them, how much disk that takes,
-//! and what a follower claims and keeps when snapshots and entries reach it late,
-//! twice, out of order or before its disk is done.
+//! Snapshots: how much log lies between two of them, how much disk that takes, and what a
+//! follower reports and keeps when snapshots and entries reach it late, twice, out of
+//! order or before its disk has synced.
 
 mod support;
 
@@ -36,8 +36,8 @@
     assert!(most < 32 * MIB, "{most} bytes");
 }
 
-/// Guards: 10,000 changes with documents of 60 KB, on a disk of 128 MB, with power
-/// lost in their midst again and again.
+/// Guards: 10,000 changes with documents of 60 KB, on a disk of 128 MB, with repeated
+/// losses of power.
 #[test]
 fn ten_thousand_changes_fit_a_small_disk() {
     for crashes in [0, 40] {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Guards: a snapshot is not taken over and over while large changes wait.
+/// Guards: no snapshot is taken again and again while large changes are uncommitted.
 #[test]
 fn only_what_is_applied_counts_towards_a_snapshot() {
     let policy = SnapshotPolicy {
@@ -156,7 +156,7 @@
     log: WriteAheadLog<MemoryDisk>,
     disk: MemoryDisk,
     unwritten: Vec<(u64, Vec<Write>)>,
-    /// The most that it ever reported to have on its disk.
+    /// The highest match index that it ever reported.
     reported: LogIndex,
     applied: LogIndex,
 }
@@ -238,14 +238,14 @@
         self.step(Input::Synced(ticket));
     }
 
-    /// What the disk would give back now.
+    /// What a restart would read back from the disk now.
     fn on_disk(&self) -> PersistedState {
         WriteAheadLog::open(self.disk.copied())
             .expect("it is read back")
             .1
     }
 
-    /// How far the disk goes.
+    /// The last index on the disk.
     fn last_on_disk(&self) -> LogIndex {
         let kept = self.on_disk();
         let base = kept.snapshot.map_or(0, |snapshot| snapshot.index);
@@ -253,10 +253,10 @@
     }
 }
 
-/// Guards: what is reported to be synced is on the disk. A snapshot that the node
-/// took of committed entries before its own disk had them is not on it, either.
+/// Guards: what is reported as synced is on disk. That includes a snapshot that the node
+/// took of committed entries before its own disk had them.
 #[test]
-fn a_snapshot_that_is_not_written_yet_is_not_claimed() {
+fn a_snapshot_that_is_not_written_yet_is_not_reported() {
     let mut follower = Follower::new();
     follower.receive(append(
         1,
@@ -276,8 +276,8 @@
     assert_eq!(follower.reported, 50);
 }
 
-/// Guards: a heartbeat commits what it vouches for and no more: what follows in the
-/// log may be of a branch that the leader does not have.
+/// Guards: a heartbeat commits entries up to the one that it matches, and no more: later
+/// ones may be of a branch that the leader does not have.
 #[test]
 fn a_heartbeat_commits_no_branch() {
     let mut follower = Follower::new();
@@ -307,9 +307,8 @@
     );
 }
 
-/// Guards: a node whose disk took one write not, and the next ones, would claim a
-/// log with a gap. After a failure nothing more is written, and nothing is said
-/// that rests on it.
+/// Guards: a node whose disk failed one write and accepted the next would report a log with
+/// a gap. After a failure nothing more is written, and no message that rests on it is sent.
 #[test]
 fn nothing_is_written_after_a_failed_write() {
     let mut follower = Follower::new();
@@ -326,8 +325,8 @@
 }
 
 /// Guards: duplicated, reordered and late snapshots and entries of one leader undo
-/// nothing: what was reported stays on the disk, the commit never falls, and a state
-/// is never replaced by an older one.
+/// nothing: what was reported stays on the disk, the commit index never falls,
+/// and a state is never replaced by an older one.
 #[test]
 fn reordered_snapshots_and_entries_undo_nothing() {
     const LAST: LogIndex = 60;
@@ -335,7 +334,7 @@
         let mut random = Random::new(number);
         let mut follower = Follower::new();
         let mut commit = 0;
-        // The leader's log grows; what it sends comes from any moment of that.
+        // The leader's log grows; its messages arrive in any order.
         for turn in 0..80 {
             let grown = 2 + turn * LAST / 80;
             let index = 1 + random.below(grown);
@@ -356,7 +355,7 @@
             }
             assert!(
                 follower.node.commit_index() >= commit,
-                "seed {number}: the commit fell"
+                "seed {number}: the commit index fell"
             );
             commit = follower.node.commit_index();
             assert!(
@@ -364,7 +363,7 @@
                 "seed {number}, turn {turn}"
             );
         }
-        // Power goes: all that was reported is there.
+        // Power is lost: everything that was reported is there.
         let reported = follower.reported;
         follower
             .disk
--- a/consensus/tests/support/disk.rs
+++ b/consensus/tests/support/disk.rs
@@ -1,6 +1,6 @@
 //! A disk in memory that loses power the way a real one does: file contents
-//! last from `sync` on, changes of the folder from `sync_directory` on, and each
-//! change of the folder before that is kept or lost by itself.
+//! last from `sync` on, changes of the directory from `sync_directory` on, and each change
+//! of the directory before that is kept or lost independently.
 
 use consensus::wal::LogStorage;
 use std::collections::BTreeMap;
@@ -16,11 +16,11 @@
 #[derive(Default, Clone)]
 struct Disk {
     contents: Vec<Content>,
-    /// The folder as programs see it, and as it is after a loss of power.
-    folder: BTreeMap<String, usize>,
-    synced_folder: BTreeMap<String, usize>,
+    /// The directory as programs see it, and as it is after a loss of power.
+    directory: BTreeMap<String, usize>,
+    synced_directory: BTreeMap<String, usize>,
     is_full: bool,
-    /// So many more operations are carried out; each one after them fails.
+    /// This many more operations succeed; each one after them fails.
     operations_left: Option<u32>,
     most_bytes: usize,
 }
@@ -57,17 +57,17 @@
         self.disk().is_full
     }
 
-    /// Lets so many operations through and fails all that follow.
+    /// Lets this many operations succeed and fails all that follow.
     pub fn fail_after(&self, operations: Option<u32>) {
         self.disk().operations_left = operations;
     }
 
-    /// How many changes of the folder are not synced.
+    /// Number of unsynced changes of the directory.
     pub fn unsynced_changes(&self) -> usize {
         self.disk().unsynced_names().len()
     }
 
-    /// Loses power. The unsynced change number n of the folder is kept where bit
+    /// Loses power. The unsynced change number n of the directory is kept where bit
     /// n of `kept` is set; of each unsynced tail, `share` thousandths are kept.
     pub fn lose_power(&self, kept: u64, share: usize) {
         let mut disk = self.disk();
@@ -75,12 +75,12 @@
             if kept >> number & 1 == 0 {
                 continue;
             }
-            match disk.folder.get(&name).copied() {
-                Some(content) => disk.synced_folder.insert(name, content),
-                None => disk.synced_folder.remove(&name),
+            match disk.directory.get(&name).copied() {
+                Some(content) => disk.synced_directory.insert(name, content),
+                None => disk.synced_directory.remove(&name),
             };
         }
-        disk.folder = disk.synced_folder.clone();
+        disk.directory = disk.synced_directory.clone();
         for content in &mut disk.contents {
             let tail = content.bytes.len() - content.synced;
             content.bytes.truncate(content.synced + tail * share / 1000);
@@ -93,7 +93,7 @@
 
 impl Disk {
     fn bytes(&self) -> usize {
-        self.folder
+        self.directory
             .values()
             .map(|content| self.contents[*content].bytes.len())
             .sum()
@@ -101,13 +101,14 @@
 
     fn unsynced_names(&self) -> Vec<String> {
         let mut names: Vec<&String> = self
-            .folder
+            .directory
             .keys()
-            .chain(self.synced_folder.keys())
+            .chain(self.synced_directory.keys())
             .collect();
         names.sort_unstable();
         names.dedup();
-        let is_unsynced = |name: &&String| self.folder.get(*name) != self.synced_folder.get(*name);
+        let is_unsynced =
+            |name: &&String| self.directory.get(*name) != self.synced_directory.get(*name);
         names.into_iter().filter(is_unsynced).cloned().collect()
     }
 
@@ -123,14 +124,14 @@
     }
 
     fn content(&mut self, name: &str) -> io::Result<&mut Content> {
-        let content = *self.folder.get(name).ok_or(io::ErrorKind::NotFound)?;
+        let content = *self.directory.get(name).ok_or(io::ErrorKind::NotFound)?;
         Ok(&mut self.contents[content])
     }
 }
 
 impl LogStorage for MemoryDisk {
     fn list(&self) -> io::Result<Vec<String>> {
-        Ok(self.disk().folder.keys().cloned().collect())
+        Ok(self.disk().directory.keys().cloned().collect())
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
@@ -145,10 +146,10 @@
         if disk.is_full {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        if !disk.folder.contains_key(name) {
+        if !disk.directory.contains_key(name) {
             let content = disk.contents.len();
             disk.contents.push(Content::default());
-            disk.folder.insert(name.into(), content);
+            disk.directory.insert(name.into(), content);
         }
         disk.content(name)?.bytes.extend_from_slice(bytes);
         disk.most_bytes = disk.most_bytes.max(disk.bytes());
@@ -175,15 +176,15 @@
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let mut disk = self.disk();
         disk.operate()?;
-        let content = disk.folder.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        disk.folder.insert(to.into(), content);
+        let content = disk.directory.remove(from).ok_or(io::ErrorKind::NotFound)?;
+        disk.directory.insert(to.into(), content);
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.disk();
         disk.operate()?;
-        disk.folder
+        disk.directory
             .remove(name)
             .map(|_| ())
             .ok_or(io::ErrorKind::NotFound.into())
@@ -192,7 +193,7 @@
     fn sync_directory(&mut self) -> io::Result<()> {
         let mut disk = self.disk();
         disk.operate()?;
-        disk.synced_folder = disk.folder.clone();
+        disk.synced_directory = disk.directory.clone();
         Ok(())
     }
 }
--- a/consensus/tests/write_ahead_log.rs
+++ b/consensus/tests/write_ahead_log.rs
@@ -1,5 +1,5 @@
-//! The write-ahead log through losses of power: whatever the disk kept of the
-//! changes to its folder, what was acknowledged as synced is read back.
+//! The write-ahead log through losses of power: whatever the disk kept of the changes to
+//! its directory, what was acknowledged as synced is read back.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::disk::MemoryDisk;
 use support::random::Random;
 
-/// What a folder holds, in short: the hard state's term, the snapshot's index and
+/// What a log directory contains, in short: the hard state's term, the snapshot's index and
 /// term, and the entries after it.
 #[derive(Clone, Debug, PartialEq, Default)]
 struct Holding {
@@ -81,16 +81,16 @@
     }
 }
 
-/// What is done to a log, one step after the other.
+/// One operation on a log.
 #[derive(Clone, Debug)]
 enum Step {
     Write(Write),
-    /// The process ends and begins again; each start begins a segment.
+    /// The process restarts; each start begins a segment.
     Restart,
 }
 
-/// Goes through the steps on a disk that fails after so many operations. What is
-/// acknowledged at the end, and the write that was under way.
+/// Performs the steps on a disk that fails after this many operations. Returns what is
+/// acknowledged at the end, and the same with the write that was in progress.
 fn carry_out(disk: &MemoryDisk, steps: &[Step], operations: Option<u32>) -> (Holding, Holding) {
     disk.fail_after(operations);
     let mut held = Holding::default();
@@ -138,7 +138,7 @@
 }
 
 /// Loses power after every single operation of the steps, and tries every subset
-/// of the folder's unsynced changes, with none, half and all of the unsynced tail.
+/// of the directory's unsynced changes, with none, half and all of the unsynced tail.
 fn check_every_loss(steps: &[Step]) -> usize {
     let mut cases = 0;
     for operations in 0.. {
@@ -166,8 +166,8 @@
     writes.into_iter().map(Step::Write).collect()
 }
 
-/// Guards: a removed segment that comes back while a later one stays away leaves
-/// no gap that stops the node.
+/// Guards: a removed segment that reappears while a later one does not leaves no gap that
+/// stops the node.
 #[test]
 fn every_subset_of_removals_can_be_read_back() {
     let hard_state = HardState {
@@ -190,10 +190,10 @@
 }
 
 /// Guards: an acknowledged entry is never lost. A removed segment that holds
-/// entries of a void branch must not come back without the one that voids them:
+/// entries of a void branch must not reappear without the one that voids them:
 /// the log after the snapshot would be taken for a part of that branch.
 #[test]
-fn a_void_branch_does_not_come_back() {
+fn a_void_branch_does_not_reappear() {
     let mut steps = written((1..=4).map(|index| entry(index, 1)));
     steps.push(Step::Restart);
     steps.extend(written([Write::Truncate(3), entry(3, 2), entry(4, 2)]));
@@ -206,8 +206,8 @@
     check_every_loss(&steps);
 }
 
-/// Guards: power that goes between the writing of a snapshot from the leader and
-/// the cut of the log before it, with a longer log of another branch there.
+/// Guards: a loss of power between the writing of a snapshot from the leader and the reset
+/// of the log before it, with a longer log of another branch there.
 #[test]
 fn an_installed_snapshot_is_there_or_not() {
     let mut steps = written((1..=4).map(|index| entry(index, 1)));
@@ -301,8 +301,8 @@
     );
 }
 
-/// Guards: bounded disk. A power that goes after each snapshot, before the log is
-/// cut, leaves files; the next start removes them.
+/// Guards: bounded disk. A loss of power after each snapshot, before older segments are
+/// removed, leaves files; the next start removes them.
 #[test]
 fn what_a_crash_left_is_removed_at_the_next_start() {
     let disk = MemoryDisk::default();
