--- a/placement/src/engine/health_tracker.rs
+++ b/placement/src/engine/health_tracker.rs
@@ -1,6 +1,7 @@
 //! The health and load table of engines that report their health.
 
 use super::health_report::HealthReport;
+use super::listing::remove_unlisted;
 use super::selection::{may_serve, select_engine, Candidate, EngineSelection, SelectedEngine};
 use super::warm_up_slots::WarmUpSlots;
 use residency::{Engine, Mapping, View};
@@ -105,29 +106,18 @@
 impl EngineHealthTracker {
     /// Takes over the engines of a view.
     pub fn apply_view(&mut self, now: u64, view: &View) -> EngineListChange {
-        let is_same = |name: &str, tracked: &TrackedEngine| {
-            view.engines
-                .get(name)
-                .is_some_and(|engine| engine.address == tracked.engine.address)
-        };
-        let mut change = EngineListChange::default();
-        self.engines.retain(|name, tracked| {
-            let is_kept = is_same(name, tracked);
-            if !is_kept {
-                change.removed.push(name.clone());
-            }
-            is_kept
-        });
+        let removed = remove_unlisted(&mut self.engines, view, |tracked| &tracked.engine);
+        let mut added = Vec::new();
         for (name, engine) in &view.engines {
             if let Some(tracked) = self.engines.get_mut(name) {
                 tracked.engine = engine.clone();
                 continue;
             }
-            change.added.push(engine.clone());
+            added.push(engine.clone());
             let tracked = TrackedEngine::new(now, engine);
             self.engines.insert(name.clone(), tracked);
         }
-        change
+        EngineListChange { added, removed }
     }
 
     /// Records a health report.
@@ -191,9 +181,29 @@
         own_hash: u64,
         peers: &[u64],
     ) -> EngineSelection {
+        let (candidates, eligible) = self.eligible(now, view, mapping, own_hash, peers);
+        if candidates.is_empty() {
+            return EngineSelection::NoneEligible;
+        }
+        let Some(index) = select_engine(prefix, &candidates) else {
+            return EngineSelection::AllFull;
+        };
+        let position = eligible[index].warm_up_position;
+        let name = eligible[index].name.to_string();
+        self.take_slot(view, &name, position)
+    }
+
+    /// The healthy engines that view and mapping allow, as the selection sees them.
+    fn eligible(
+        &self,
+        now: u64,
+        view: &View,
+        mapping: &Mapping,
+        own_hash: u64,
+        peers: &[u64],
+    ) -> (Vec<Candidate>, Vec<Eligible<'_>>) {
         let target_utilization = view.program.set_points.target_utilization;
-        let mut candidates = Vec::new();
-        let mut eligible = Vec::new();
+        let (mut candidates, mut eligible) = (Vec::new(), Vec::new());
         for (name, tracked) in &self.engines {
             let engine = &tracked.engine;
             let Some(tier) = mapping.cells.iter().position(|cell| cell.0 == engine.cell) else {
@@ -206,7 +216,7 @@
                 continue;
             }
             let limit = tracked.limit(target_utilization);
-            let warm_up_position = report.is_warming_up().then(|| {
+            let position = report.is_warming_up().then(|| {
                 let slots = &tracked.warm_up_slots;
                 slots.free_position(now, limit, tracked.hash, own_hash, peers)
             });
@@ -215,56 +225,36 @@
                 hash: tracked.hash,
                 running: tracked.running(&report),
                 // Without a free position of this process the engine counts as full.
-                limit: if warm_up_position == Some(None) {
-                    0
-                } else {
-                    limit
-                },
+                limit: if position == Some(None) { 0 } else { limit },
                 tier,
             });
             eligible.push(Eligible {
                 name,
-                warm_up_position: warm_up_position.flatten(),
+                warm_up_position: position.flatten(),
             });
         }
-        if candidates.is_empty() {
-            return EngineSelection::NoneEligible;
-        }
-        let Some(index) = select_engine(prefix, &candidates) else {
-            return EngineSelection::AllFull;
-        };
-        let Eligible {
-            name,
-            warm_up_position,
-        } = eligible.swap_remove(index);
-        let name = name.to_string();
-        self.take_slot(view, name, warm_up_position)
+        (candidates, eligible)
     }
 
     fn take_slot(
         &mut self,
         view: &View,
-        name: String,
+        name: &str,
         warm_up_position: Option<u32>,
     ) -> EngineSelection {
         let tracked = self
             .engines
-            .get_mut(&name)
+            .get_mut(name)
             .expect("a candidate is an entry of the table");
         tracked.own_requests += 1;
         tracked.unreported_requests += 1;
         let send_by_ms = warm_up_position.map(|position| tracked.warm_up_slots.take(position));
-        EngineSelection::Selected(SelectedEngine {
-            address: tracked.engine.address.clone(),
-            zone: view
-                .cells
-                .get(&tracked.engine.cell)
-                .cloned()
-                .unwrap_or_default(),
-            name,
+        EngineSelection::Selected(SelectedEngine::new(
+            view,
+            &tracked.engine,
             send_by_ms,
-            interruptions: tracked.interruptions,
-        })
+            tracked.interruptions,
+        ))
     }
 
     /// The state of each engine, by name, for operators.
--- a/placement/src/engine/mod.rs
+++ b/placement/src/engine/mod.rs
@@ -2,6 +2,7 @@
 
 mod health_report;
 mod health_tracker;
+mod listing;
 mod selection;
 mod slow_start;
 mod warm_up_slots;
@@ -11,6 +12,7 @@
     EngineHealthStatus, EngineHealthTracker, EngineListChange, ENGINE_LOST_AFTER_MS,
     HEALTH_REPORT_TIMEOUT_MS,
 };
+pub(crate) use listing::remove_unlisted;
 pub use selection::{
     may_serve, select_engine, Candidate, EngineSelection, SelectedEngine, SelectionRequest,
 };
--- a/placement/src/engine/selection.rs
+++ b/placement/src/engine/selection.rs
@@ -3,7 +3,7 @@
 
 use crate::rendezvous::rank;
 use policy::Prompt;
-use residency::{Mapping, View};
+use residency::{Engine, Mapping, View};
 
 /// A request, as far as the selection of an engine depends on it.
 pub struct SelectionRequest<'a> {
@@ -32,6 +32,23 @@
     pub interruptions: u64,
 }
 
+impl SelectedEngine {
+    pub(crate) fn new(
+        view: &View,
+        engine: &Engine,
+        send_by_ms: Option<u64>,
+        interruptions: u64,
+    ) -> SelectedEngine {
+        SelectedEngine {
+            name: engine.name.clone(),
+            address: engine.address.clone(),
+            zone: view.cells.get(&engine.cell).cloned().unwrap_or_default(),
+            send_by_ms,
+            interruptions,
+        }
+    }
+}
+
 /// The result of a selection.
 #[derive(Debug, PartialEq)]
 pub enum EngineSelection {
--- a/placement/src/load/estimator.rs
+++ b/placement/src/load/estimator.rs
@@ -5,7 +5,7 @@
 };
 use super::engine_load::{TrackedEngine, PREFILL_TOKENS_PER_MS};
 use super::gossip::LoadUpdate;
-use crate::engine::{EngineSelection, SelectedEngine, SelectionRequest};
+use crate::engine::{remove_unlisted, EngineSelection, SelectedEngine, SelectionRequest};
 use policy::Prompt;
 use protocol::CachedPrefix;
 use residency::{Mapping, View};
@@ -62,19 +62,7 @@
     /// Takes over the engines of a view. Returns the names of those that are no longer
     /// listed, or at another address.
     pub fn apply_view(&mut self, now: u64, view: &View) -> Vec<String> {
-        let is_same = |name: &str, tracked: &TrackedEngine| {
-            view.engines
-                .get(name)
-                .is_some_and(|engine| engine.address == tracked.engine.address)
-        };
-        let mut removed = Vec::new();
-        self.engines.retain(|name, tracked| {
-            let is_kept = is_same(name, tracked);
-            if !is_kept {
-                removed.push(name.clone());
-            }
-            is_kept
-        });
+        let removed = remove_unlisted(&mut self.engines, view, |tracked| &tracked.engine);
         for (name, engine) in &view.engines {
             match self.engines.get_mut(name) {
                 Some(tracked) => tracked.update(now, engine),
@@ -158,17 +146,7 @@
             tracked.next_warm_up_start_ms = now + 1_000 * sharers / rate;
             now + WARM_UP_SLOT_MS
         });
-        EngineSelection::Selected(SelectedEngine {
-            address: tracked.engine.address.clone(),
-            zone: view
-                .cells
-                .get(&tracked.engine.cell)
-                .cloned()
-                .unwrap_or_default(),
-            name: choice.name,
-            send_by_ms,
-            interruptions: 0,
-        })
+        EngineSelection::Selected(SelectedEngine::new(view, &tracked.engine, send_by_ms, 0))
     }
 
     /// What is to be sent to other processes now.
--- a/placement/tests/engine_health_tracker.rs
+++ b/placement/tests/engine_health_tracker.rs
@@ -2,26 +2,14 @@
 
 mod common;
 
-use common::draws;
+use common::{draws, topology};
 use placement::{
     rank, EngineHealthTracker, EngineSelection, HealthReport, SelectedEngine, SlowStart,
 };
-use residency::{Cell, Engine, EngineState, Event, Mapping, Name, View, Zone};
+use residency::{Engine, EngineState, Event, Mapping, Name, View};
 
 fn view(engines: usize) -> View {
-    let zone = |name: &str, region: &str| Zone {
-        name: name.into(),
-        region: region.into(),
-    };
-    let cell = |name: &str, zone: &str| Cell {
-        name: name.into(),
-        zone: zone.into(),
-    };
-    let mut view = View::default();
-    view.apply(&Event::Topology {
-        zones: vec![zone("north-a", "north")],
-        cells: vec![cell("north-1", "north-a")],
-    });
+    let mut view = topology(&[("north-a", "north")], &[("north-1", "north-a")]);
     for at in 0..engines {
         view.apply(&Event::EngineUpdated(Engine {
             name: format!("engine-{at}"),
--- a/placement/tests/engine_load_estimator.rs
+++ b/placement/tests/engine_load_estimator.rs
@@ -1,12 +1,15 @@
 //! Selection by estimated load: where a request goes, and what engines that are warming up get.
 
+mod common;
+
+use common::topology;
 use placement::{
     EngineLoadEstimator, EngineSelection, LoadUpdate, PrefillEstimate, SelectedEngine,
     SelectionRequest,
 };
 use policy::{Prompt, PromptPart};
 use protocol::{CachedPrefix, EngineLoad};
-use residency::{Cell, Engine, EngineState, Event, Mapping, Name, ServiceLimits, View, Zone};
+use residency::{Engine, EngineState, Event, Mapping, Name, ServiceLimits, View};
 
 const SERVICE: &str = "writer";
 
@@ -26,19 +29,10 @@
 }
 
 fn view(engines: &[Engine]) -> View {
-    let zone = |name: &str, region: &str| Zone {
-        name: name.into(),
-        region: region.into(),
-    };
-    let cell = |name: &str, zone: &str| Cell {
-        name: name.into(),
-        zone: zone.into(),
-    };
-    let mut view = View::default();
-    view.apply(&Event::Topology {
-        zones: vec![zone("north-a", "north"), zone("south-a", "south")],
-        cells: vec![cell("north-a", "north-a"), cell("south-a", "south-a")],
-    });
+    let mut view = topology(
+        &[("north-a", "north"), ("south-a", "south")],
+        &[("north-a", "north-a"), ("south-a", "south-a")],
+    );
     let limits = ServiceLimits {
         service: SERVICE.into(),
         max_connections: 0,
