--- a/protocol/src/forwarding.rs
+++ b/protocol/src/forwarding.rs
@@ -8,6 +8,7 @@
 use crate::codec::{read_flag, write_flag};
 use binrw::binrw;
 use consensus::codec::{read_bytes, read_list, read_string, write_bytes, write_list, write_string};
+use residency::Epoch;
 
 /// One HTTP header.
 #[binrw]
@@ -50,7 +51,7 @@
     #[bw(write_with = write_string)]
     pub client_region: String,
     /// The epoch in force at the router; the node resolves by no older state.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// What is left of the request's deadline, in milliseconds.
     pub remaining_ms: u64,
     /// The router has charged the tenant's quota; otherwise the node does, once it has
--- a/protocol/src/frame.rs
+++ b/protocol/src/frame.rs
@@ -10,7 +10,7 @@
 use binrw::binrw;
 use consensus::codec::{read_bytes, read_list, read_string, write_bytes, write_list, write_string};
 use consensus::{Member, Message, NodeId};
-use residency::{Event, Mapping};
+use residency::{Epoch, Event, Mapping};
 
 /// A frame. The `magic` of a variant is its kind, the first byte on a connection.
 #[binrw]
@@ -113,7 +113,7 @@
         /// The heartbeat's number.
         heartbeat: u64,
         /// The epoch that the router's view must have for the lease to count.
-        epoch: u64,
+        epoch: Epoch,
         /// The quota grants.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
@@ -123,7 +123,7 @@
     #[brw(magic = 22u8)]
     Snapshot {
         /// The view's epoch.
-        epoch: u64,
+        epoch: Epoch,
         /// Events that make an empty view this one.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
@@ -133,9 +133,9 @@
     #[brw(magic = 23u8)]
     Change {
         /// The epoch that the events are applied to.
-        base_epoch: u64,
+        base_epoch: Epoch,
         /// The epoch that they make.
-        epoch: u64,
+        epoch: Epoch,
         /// The events, in order.
         #[br(parse_with = read_list)]
         #[bw(write_with = write_list)]
@@ -248,7 +248,7 @@
         #[bw(write_with = write_string)]
         key: String,
         /// The epoch in force at the asking router; an older shard answers with a miss.
-        epoch: u64,
+        epoch: Epoch,
     },
     /// The response to `CacheLookup`: one mapping, or none for a miss.
     #[brw(magic = 41u8)]
--- a/protocol/src/router_session.rs
+++ b/protocol/src/router_session.rs
@@ -8,7 +8,7 @@
 use binrw::binrw;
 use consensus::codec::{read_list, read_string, write_list, write_string};
 use consensus::Member;
-use residency::Name;
+use residency::{Epoch, Name};
 
 /// How long a router's lease lasts, in milliseconds, from when its heartbeat was sent.
 /// Invariant: shorter than any bound within which a change must be in force, and well
@@ -45,7 +45,7 @@
     #[bw(write_with = write_string)]
     pub peer_address: String,
     /// The epoch of the view in force there; 0 before the first.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// Age of this report in milliseconds, when it was sent on.
     pub age_ms: u64,
     /// It is shutting down and takes no new requests.
