--- a/router/src/forwarding/conversation.rs
+++ b/router/src/forwarding/conversation.rs
@@ -1,8 +1,8 @@
 //! The conversation with the directory node that a request was forwarded to, up to
 //! the head of its response.
 
+use super::outcome::ForwardOutcome;
 use super::relay::{Relay, Upload};
-use super::ForwardOutcome;
 use crate::cache_tiers::LookupPermit;
 use crate::conversation_error::ConversationError;
 use crate::regional_cache;
--- a/router/src/forwarding/mod.rs
+++ b/router/src/forwarding/mod.rs
@@ -2,8 +2,11 @@
 //! a home region, over a connection of its own.
 
 mod conversation;
+mod outcome;
 mod relay;
 
+pub use outcome::ForwardOutcome;
+
 use crate::cache_tiers::LookupPermit;
 use crate::conversation_error::ConversationError;
 use crate::rejection::RouterRejection;
@@ -12,36 +15,14 @@
 use dispatch::{apply_event, RequestBody, RequestParts};
 use placement::{RequestEvent, RequestStateMachine};
 use protocol::{ConnectionKind, Frame};
-use residency::Mapping;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
-use transport::http_server::Response;
-use transport::rejection::Rejection;
 use transport::{link, now};
 
 /// How long a node may take to welcome a connection.
 const WELCOME_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What came of forwarding a request.
-pub enum ForwardOutcome {
-    /// The node's response; its body is still coming in.
-    Response(Response),
-    /// The node left the dispatch to this router, which has the mapping now.
-    Mapping(Mapping),
-    /// No node could be reached; nothing was sent.
-    Unreachable,
-    /// A node refused or was lost; the rejection says whether the request may have
-    /// run.
-    Refused(Rejection),
-}
-
-impl From<RouterRejection> for ForwardOutcome {
-    fn from(rejection: RouterRejection) -> ForwardOutcome {
-        ForwardOutcome::Refused(rejection.into())
-    }
-}
-
 /// Directory nodes that may see the body, as things are now: of this region, then of
 /// the tenant's home regions.
 fn permitted_nodes(router: &Router, tenant: Option<&str>) -> Vec<SocketAddr> {
--- a/router/src/ingress/dispatch.rs
+++ b/router/src/ingress/dispatch.rs
@@ -35,25 +35,39 @@
                 Found::Mapping(mapping) => mapping,
                 Found::Response(response) => return Ok(response),
             };
-            let view = self.router.view.borrow().clone();
-            let mapping = within_homes(&view, mapping, &routing_key.homes)?;
-            // The state before this lookup's dispatch is what the next one starts
-            // from.
-            let mut state = state;
-            apply_event(&mut state, RequestEvent::MappingResolved);
-            let dispatched = self
-                .router
-                .dispatcher
-                .dispatch(&mut state, parts, &mut body, &mapping, routing_key.prefix)
-                .await;
-            match dispatched {
-                Ok(response) => return Ok(super::respond::from_engine(response)),
+            // The state before the dispatch is what the next lookup starts from.
+            match self
+                .dispatch(state, parts, &mut body, mapping, routing_key)
+                .await
+            {
+                Ok(response) => return Ok(response),
                 Err(rejection) if may_look_up_again(&rejection, &body) => {}
                 Err(rejection) => return Err(rejection),
             }
         }
         Err(RouterRejection::MappingUnstable.into())
     }
+
+    /// Sends the request to an engine of the mapping, within the route's home
+    /// regions.
+    async fn dispatch(
+        &self,
+        mut state: RequestStateMachine,
+        parts: &RequestParts,
+        body: &mut RequestBody,
+        mapping: Mapping,
+        routing_key: &RoutingKey,
+    ) -> Result<Response, Rejection> {
+        let view = self.router.view.borrow().clone();
+        let mapping = within_homes(&view, mapping, &routing_key.homes)?;
+        apply_event(&mut state, RequestEvent::MappingResolved);
+        let response = self
+            .router
+            .dispatcher
+            .dispatch(&mut state, parts, body, &mapping, routing_key.prefix)
+            .await?;
+        Ok(super::respond::from_engine(response))
+    }
 }
 
 fn may_look_up_again(rejection: &Rejection, body: &RequestBody) -> bool {
--- a/router/src/ingress/mod.rs
+++ b/router/src/ingress/mod.rs
@@ -6,7 +6,7 @@
 //! |---|---|---|
 //! | admit (capacity) | `admit.rs` | no lease, shutting down, too many requests, body too long |
 //! | identify | `identify.rs` | no route, no tenant key, no model, body too slow |
-//! | authorize | `authorize.rs` | unknown tenant key, request id in use |
+//! | authorize | `authorize.rs`, `claims.rs` | unknown tenant key, request id in use |
 //! | admit (quota) | `admit.rs` | tenant past its quota: 429 `quota` |
 //! | look up | `lookup.rs` | no mapping, no directory node |
 //! | dispatch | `dispatch.rs` | no home region, no engine, engine lost |
@@ -15,6 +15,7 @@
 mod admit;
 mod authorize;
 mod body;
+mod claims;
 mod dispatch;
 mod identify;
 mod lookup;
@@ -23,8 +24,8 @@
 use crate::extensions::{ClientAdapter, RetryPolicy};
 use crate::in_flight::InFlightGuard;
 use crate::router::Router;
-use authorize::{RequestClaim, RequestClaims};
 use body::IncomingBody;
+use claims::{RequestClaim, RequestClaims};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -120,7 +121,7 @@
         let mut identified = self
             .identify(&view, &head, &mut body, id, arrived_ms)
             .await?;
-        guard.claim = self.claim_id(&identified, id)?;
+        guard.claim = self.authorize(identified.authenticated_client(), id)?;
         let is_past_key_cap = body.is_past_key_cap();
         let mut body = body.into_outgoing();
         let outgoing = identified.outgoing(&head, id);
