--- a/dispatch/src/quota.rs
+++ b/dispatch/src/quota.rs
@@ -3,7 +3,8 @@
 
 use parking_lot::Mutex;
 use placement::{
-    AdmissionDecision, LeaseRateLimiter, QueueingRateLimiter, QuotaTolerance, RateLimit,
+    AdmissionDecision, LeaseRateLimiter, QueueTicket, QueueingRateLimiter, QuotaTolerance,
+    RateLimit,
 };
 use protocol::{QuotaGrant, RouterDemand};
 use std::time::Duration;
@@ -40,7 +41,7 @@
 struct Waiting<'q> {
     meters: &'q Mutex<QueueingRateLimiter>,
     tenant: &'q str,
-    ticket: Option<u64>,
+    ticket: Option<QueueTicket>,
 }
 
 impl Drop for Waiting<'_> {
--- a/placement/src/lib.rs
+++ b/placement/src/lib.rs
@@ -3,6 +3,18 @@
 //!
 //! Nothing in here has a clock, a socket, a task or a lock. Time is an argument, in
 //! milliseconds of one monotonic clock (`now`); what is to be done is returned.
+//!
+//! | question | module |
+//! |---|---|
+//! | which engine gets a request, by what engines report | `engine` |
+//! | the same, by what routers measure | `load` |
+//! | whether a tenant is within its quota | `quota` |
+//! | what may be attempted next, and what an error may claim | `request_state` |
+//! | whether there is budget for a retry | `retry` |
+//! | whether a cached mapping may be used | `cache` |
+//! | what a router knows, and until when it may act on it | `replica_view` |
+//! | which routers and directory nodes there are | `router_membership` |
+//! | which process owns what, without communication | `rendezvous` |
 
 mod cache;
 mod engine;
@@ -22,8 +34,8 @@
 };
 pub use load::{EngineLoadEstimator, EngineLoadStatus, LoadUpdate, PrefillEstimate, ProbeTarget};
 pub use quota::{
-    AdmissionDecision, LeaseRateLimiter, QueueingRateLimiter, QuotaLeaseAllocator, QuotaTolerance,
-    RateLimit, TokenAllocator, QUOTA_LEASE_MS, STARTUP_RESERVE_RATIO,
+    AdmissionDecision, LeaseRateLimiter, QueueTicket, QueueingRateLimiter, QuotaLeaseAllocator,
+    QuotaTolerance, RateLimit, TokenAllocator, QUOTA_LEASE_MS, STARTUP_RESERVE_RATIO,
 };
 pub use rendezvous::rank;
 pub use replica_view::{ReplicaUpdate, ReplicaView, ReplicaViewError};
--- a/placement/src/quota/mod.rs
+++ b/placement/src/quota/mod.rs
@@ -28,6 +28,6 @@
 pub use queueing_limiter::QueueingRateLimiter;
 pub use rate_limit::RateLimit;
 pub use tenant_lease::QUOTA_LEASE_MS;
-pub use tenant_queue::AdmissionDecision;
+pub use tenant_queue::{AdmissionDecision, QueueTicket};
 pub use token_allocator::TokenAllocator;
 pub use tolerance::{QuotaTolerance, STARTUP_RESERVE_RATIO};
--- a/placement/src/quota/queueing_limiter.rs
+++ b/placement/src/quota/queueing_limiter.rs
@@ -1,7 +1,7 @@
 //! The rate limiter of a router that admits by tokens of the leader: a request without a token
 //! waits for one.
 
-use super::tenant_queue::{AdmissionDecision, Arrival, TenantQueue};
+use super::tenant_queue::{AdmissionDecision, Arrival, QueueTicket, TenantQueue};
 use protocol::{QuotaGrant, RouterDemand};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -59,7 +59,7 @@
         now: u64,
         tenant: &str,
         arrived_at_ms: u64,
-        ticket: Option<u64>,
+        ticket: Option<QueueTicket>,
         patience_ms: u64,
     ) -> AdmissionDecision {
         self.record_call(now);
@@ -85,7 +85,7 @@
     }
 
     /// A request stopped waiting by itself.
-    pub fn cancel(&mut self, tenant: &str, ticket: u64) {
+    pub fn cancel(&mut self, tenant: &str, ticket: QueueTicket) {
         if let Some(queue) = self.tenants.get_mut(tenant) {
             queue.cancel(Some(ticket));
         }
--- a/placement/src/quota/tenant_queue.rs
+++ b/placement/src/quota/tenant_queue.rs
@@ -18,13 +18,17 @@
 /// Admitted requests within this time are kept as one entry, to bound the memory.
 const GRAIN_MS: u64 = 100;
 
+/// The place of a waiting request in its tenant's queue; tickets are ordered by arrival.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QueueTicket(u64);
+
 /// The decision on a request.
 #[derive(Debug, PartialEq)]
 pub enum AdmissionDecision {
     /// It may be dispatched.
     Admitted,
     /// It waits under this ticket. `admit` is to be called again with it.
-    Queued(u64),
+    Queued(QueueTicket),
     /// The tenant exceeds its quota.
     OverQuota,
     /// No leader has answered for too long.
@@ -36,7 +40,7 @@
     /// When it was received.
     pub(super) at_ms: u64,
     /// Its ticket, if it is queued.
-    pub(super) ticket: Option<u64>,
+    pub(super) ticket: Option<QueueTicket>,
     /// How long it may wait without an answer of a leader.
     pub(super) patience_ms: u64,
 }
@@ -62,8 +66,8 @@
     valid_until_ms: u64,
     grant_floor: u64,
     /// Tickets of the requests that wait, in the order of their arrival.
-    tickets: BTreeSet<u64>,
-    last_ticket: u64,
+    tickets: BTreeSet<QueueTicket>,
+    last_ticket: QueueTicket,
     /// Requests received per second, smoothed.
     arrivals_per_s: f64,
     /// Requests received since the last report.
@@ -81,7 +85,7 @@
             valid_until_ms: 0,
             grant_floor: 0,
             tickets: BTreeSet::new(),
-            last_ticket: 0,
+            last_ticket: QueueTicket::default(),
             arrivals_per_s: 0.0,
             arrivals: 0,
             last_arrival_at_ms: 0,
@@ -124,7 +128,7 @@
     }
 
     /// How many requests wait before this one. A request without a ticket has just arrived.
-    fn queued_before(&mut self, now: u64, ticket: Option<u64>) -> u64 {
+    fn queued_before(&mut self, now: u64, ticket: Option<QueueTicket>) -> u64 {
         match ticket {
             Some(ticket) => self.tickets.range(..ticket).count() as u64,
             None => {
@@ -140,14 +144,14 @@
         self.history.add(now, 1);
     }
 
-    fn enqueue(&mut self) -> u64 {
-        self.last_ticket += 1;
+    fn enqueue(&mut self) -> QueueTicket {
+        self.last_ticket = QueueTicket(self.last_ticket.0 + 1);
         self.tickets.insert(self.last_ticket);
         self.last_ticket
     }
 
     /// A request waits no longer.
-    pub(super) fn cancel(&mut self, ticket: Option<u64>) {
+    pub(super) fn cancel(&mut self, ticket: Option<QueueTicket>) {
         if let Some(ticket) = ticket {
             self.tickets.remove(&ticket);
         }
--- a/placement/tests/queueing_quota.rs
+++ b/placement/tests/queueing_quota.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{draws, take_where, InFlight};
-use placement::{AdmissionDecision, QueueingRateLimiter, RateLimit, TokenAllocator};
+use placement::{AdmissionDecision, QueueTicket, QueueingRateLimiter, RateLimit, TokenAllocator};
 use protocol::{RouterDemand, RouterGrants, LEASE_MS};
 
 const PATIENCE_MS: u64 = 2_500;
@@ -40,7 +40,7 @@
 struct QueuedRequest {
     arrived_at_ms: u64,
     router: usize,
-    ticket: u64,
+    ticket: QueueTicket,
 }
 
 #[derive(Debug, Default)]
@@ -216,7 +216,12 @@
         }
     }
 
-    fn admit(&mut self, router: usize, arrived_at_ms: u64, ticket: Option<u64>) -> Option<u64> {
+    fn admit(
+        &mut self,
+        router: usize,
+        arrived_at_ms: u64,
+        ticket: Option<QueueTicket>,
+    ) -> Option<QueueTicket> {
         let limiter = &mut self.routers[router].limiter;
         match limiter.admit(self.now, "t", arrived_at_ms, ticket, PATIENCE_MS) {
             AdmissionDecision::Admitted => self.result.admitted.push(self.now),
