--- a/consensus/src/node/commit.rs
+++ b/consensus/src/node/commit.rs
@@ -1,14 +1,8 @@
 //! Proposals, the commit index and applying (Raft thesis §3.5, §3.6.2).
 
+use super::proposal_queue::Outcome;
 use super::{Effect, Node, RequestError, Role, Token};
-use crate::{Entry, EntryPayload, Term};
-
-/// A local proposal that is not committed yet.
-#[derive(Clone, Hash)]
-pub(super) struct PendingProposal {
-    pub(super) term: Term,
-    pub(super) token: Token,
-}
+use crate::{Entry, EntryPayload};
 
 impl Node {
     /// Appends a proposal as leader; it is sent with the next heartbeat round, which is
@@ -23,8 +17,7 @@
         }
         let term = self.term();
         let index = self.append_new(payload);
-        self.proposals
-            .insert(index, PendingProposal { term, token });
+        self.proposals.insert(index, term, token);
         self.replication.heartbeat_deadline = self.now;
     }
 
@@ -50,13 +43,13 @@
     /// Applies what is committed, in log order.
     pub(super) fn apply_committed(&mut self) {
         while let Some(entry) = self.log.apply_next() {
-            let token = match self.proposals.remove(&entry.index) {
-                Some(proposal) if proposal.term == entry.term => Some(proposal.token),
-                Some(proposal) => {
-                    self.reject(proposal.token, RequestError::LeadershipLost);
+            let token = match self.proposals.on_applied(&entry) {
+                Outcome::Committed(token) => Some(token),
+                Outcome::Replaced(token) => {
+                    self.reject(token, RequestError::LeadershipLost);
                     None
                 }
-                None => None,
+                Outcome::NotLocal => None,
             };
             let is_removed = self.removes_this_node(&entry);
             self.effects.push(Effect::Apply(entry, token));
--- a/consensus/src/node/durable_state.rs
+++ b/consensus/src/node/durable_state.rs
@@ -1,7 +1,8 @@
 //! What is on disk, what is being written, and the messages that must wait for a write
 //! (Raft thesis §3.8: term, vote and entries are persisted before they are answered).
 
-use super::{Effect, Write, WriteTicket};
+use super::effect::{Effect, Write};
+use super::input::WriteTicket;
 use crate::{HardState, LogIndex, Message};
 use std::collections::VecDeque;
 
--- a/consensus/src/node/effect.rs
+++ b/consensus/src/node/effect.rs
@@ -1,6 +1,6 @@
 //! What comes out of a node: writes, messages, entries to apply, results of requests.
 
-use super::{RequestError, Token, WriteTicket};
+use super::input::{RequestError, Token, WriteTicket};
 use crate::{Entry, HardState, LogIndex, Message, Snapshot};
 
 /// One change of the state on disk.
--- a/consensus/src/node/election.rs
+++ b/consensus/src/node/election.rs
@@ -118,8 +118,8 @@
             for read in self.reads.take_all() {
                 self.reject(read.token, RequestError::NotLeader);
             }
-            for proposal in std::mem::take(&mut self.proposals).into_values() {
-                self.reject(proposal.token, RequestError::LeadershipLost);
+            for token in self.proposals.take_all() {
+                self.reject(token, RequestError::LeadershipLost);
             }
         }
         self.election
--- a/consensus/src/node/mod.rs
+++ b/consensus/src/node/mod.rs
@@ -12,6 +12,7 @@
 //! - `durable_state`: hard state, unsynced writes, the messages that wait for them;
 //! - `membership_state`: the membership in force and those before it;
 //! - `progress`: what the leader knows of each member;
+//! - `proposal_queue`: local proposals that are not committed yet;
 //! - `read_index`: reads that wait for a heartbeat round.
 //!
 //! What happens:
@@ -32,6 +33,7 @@
 mod membership;
 mod membership_state;
 mod progress;
+mod proposal_queue;
 mod raft_log;
 mod read_index;
 mod receive;
@@ -48,14 +50,13 @@
     ClusterId, Entry, EntryPayload, HardState, LogIndex, Membership, Message, MessageBody, NodeId,
     Snapshot, Term,
 };
-use commit::PendingProposal;
 use durable_state::DurableState;
 use election_state::ElectionState;
 use membership_state::MembershipState;
 use progress::ReplicationState;
+use proposal_queue::ProposalQueue;
 use raft_log::RaftLog;
 use read_index::ReadIndexQueue;
-use std::collections::BTreeMap;
 
 /// One node. Its invariants are those of the states that it consists of; across them:
 /// the membership in force is that of the newest membership entry in the log, and a
@@ -72,8 +73,7 @@
     membership: MembershipState,
     replication: ReplicationState,
     reads: ReadIndexQueue,
-    /// Local proposals that are not committed yet.
-    proposals: BTreeMap<LogIndex, PendingProposal>,
+    proposals: ProposalQueue,
     /// Collected in this step.
     effects: Vec<Effect>,
 }
@@ -105,7 +105,7 @@
             log: RaftLog::new(snapshot),
             replication: ReplicationState::new(),
             reads: ReadIndexQueue::default(),
-            proposals: BTreeMap::new(),
+            proposals: ProposalQueue::default(),
             effects: Vec::new(),
         };
         for entry in persisted.entries {
--- a/consensus/src/node/raft_log.rs
+++ b/consensus/src/node/raft_log.rs
@@ -1,7 +1,7 @@
 //! The log in memory: the latest snapshot, the entries after it, and how far they are
 //! committed and applied (Raft thesis §3.5, §5.1).
 
-use super::SnapshotPolicy;
+use super::timing::SnapshotPolicy;
 use crate::{Entry, EntryPayload, LogIndex, LogPosition, Snapshot, Term};
 use std::collections::VecDeque;
 
--- a/consensus/src/wal/mod.rs
+++ b/consensus/src/wal/mod.rs
@@ -6,6 +6,7 @@
 //!
 //! - `storage`: the file operations it needs, and a directory of a real disk;
 //! - `record`: the layout of records and file headers;
+//! - `segment`: names and first bytes of segments;
 //! - `snapshot_file`: writing and reading snapshots;
 //! - `recovery`: reading everything back at the start;
 //! - `error`: what can be wrong, in which file.
@@ -13,6 +14,7 @@
 mod error;
 mod record;
 mod recovery;
+mod segment;
 mod snapshot_file;
 mod storage;
 
@@ -23,23 +25,9 @@
 use crate::node::{PersistedState, Write};
 use crate::{HardState, LogIndex, LogPosition, Snapshot};
 use error::{directory_error, io_error};
-use record::{file_header, record_bytes, Record, SEGMENT_MAGIC};
+use record::{record_bytes, Record};
 use recovery::Recovered;
-
-const SEGMENT_PREFIX: &str = "segment-";
-/// A segment is closed once it is larger than this.
-const SEGMENT_BYTES: u64 = 4 << 20;
-
-fn segment_name(number: u64) -> String {
-    format!("{SEGMENT_PREFIX}{number:012}")
-}
-
-/// A segment that is not written any more.
-struct ClosedSegment {
-    number: u64,
-    /// The last index that it may contain.
-    last_index: LogIndex,
-}
+use segment::ClosedSegment;
 
 /// The write-ahead log in one directory. Invariants: `active_segment` is the highest
 /// number of all segments, and only that one is written; each segment begins with the
@@ -95,7 +83,7 @@
     where
         S: Clone,
     {
-        let name = segment_name(self.active_segment);
+        let name = segment::name(self.active_segment);
         let names = self.storage.list().map_err(directory_error("list"))?;
         if names.contains(&name) {
             self.storage
@@ -144,7 +132,7 @@
             }
         }
         self.append_and_sync(&bytes)?;
-        if self.active_bytes > SEGMENT_BYTES {
+        if self.active_bytes > segment::CLOSE_AFTER_BYTES {
             self.rotate(None)?;
         }
         Ok(())
@@ -154,7 +142,7 @@
         if bytes.is_empty() {
             return Ok(());
         }
-        let name = segment_name(self.active_segment);
+        let name = segment::name(self.active_segment);
         self.append(&name, bytes)?;
         self.sync(&name)?;
         self.active_bytes += bytes.len() as u64;
@@ -171,13 +159,9 @@
             });
         }
         self.active_segment += 1;
-        let mut bytes = file_header(SEGMENT_MAGIC);
-        bytes.extend(record_bytes(&Record::HardState(self.hard_state)));
-        if let Some(LogPosition { term, index }) = reset {
-            bytes.extend(record_bytes(&Record::Reset { index, term }));
-        }
+        let bytes = segment::first_bytes(self.hard_state, reset);
         self.active_bytes = 0;
-        let name = segment_name(self.active_segment);
+        let name = segment::name(self.active_segment);
         self.append(&name, &bytes)?;
         self.sync(&name)?;
         self.sync_directory()?;
@@ -207,7 +191,7 @@
             if oldest.last_index > index {
                 break;
             }
-            let name = segment_name(oldest.number);
+            let name = segment::name(oldest.number);
             self.storage
                 .remove(&name)
                 .map_err(io_error("remove", &name))?;
--- a/consensus/src/wal/recovery.rs
+++ b/consensus/src/wal/recovery.rs
@@ -2,8 +2,9 @@
 
 use super::error::{directory_error, io_error, Corruption, WalError};
 use super::record::{check_file_header, read_record, Record, FILE_HEADER_BYTES, SEGMENT_MAGIC};
+use super::segment::ClosedSegment;
 use super::storage::LogStorage;
-use super::{segment_name, snapshot_file, ClosedSegment, SEGMENT_PREFIX};
+use super::{segment, snapshot_file};
 use crate::codec::from_bytes;
 use crate::node::PersistedState;
 use crate::{Entry, LogIndex, LogPosition, Snapshot};
@@ -35,7 +36,7 @@
     if let Some(index) = snapshots.last() {
         state.snapshot = Some(snapshot_file::read(storage, *index)?);
     }
-    let numbers = numbers_after(&names, SEGMENT_PREFIX);
+    let numbers = numbers_after(&names, segment::NAME_PREFIX);
     let mut segments = Vec::new();
     for (position, number) in numbers.iter().enumerate() {
         let is_newest = position + 1 == numbers.len();
@@ -90,7 +91,7 @@
             snapshot: base,
             first: first.index,
         }
-        .at(&segment_name(oldest), FILE_HEADER_BYTES)),
+        .at(&segment::name(oldest), FILE_HEADER_BYTES)),
         _ => Ok(()),
     }
 }
@@ -109,7 +110,7 @@
     is_newest: bool,
     state: &mut PersistedState,
 ) -> Result<bool, WalError> {
-    let name = segment_name(number);
+    let name = segment::name(number);
     let bytes = storage.read(&name).map_err(io_error("read", &name))?;
     // A crash may keep a new file's length and lose its bytes.
     let is_blank = bytes.len() < FILE_HEADER_BYTES || bytes.iter().all(|byte| *byte == 0);
