--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -20,6 +20,7 @@
 mod operator_history;
 mod operators;
 mod random;
+mod request_decision;
 mod request_handling;
 mod requests;
 mod run;
--- a/simulator/src/request_handling.rs
+++ b/simulator/src/request_handling.rs
@@ -10,16 +10,12 @@
 use consensus::codec::to_bytes;
 use consensus::node::{Input, Role};
 use consensus::LogIndex;
-use residency::{Command, ConfigDocument, Name, Outcome, Proposal, State};
+use residency::Outcome;
 
 /// How long a node waits for a read index.
 const READ_INDEX_TIMEOUT_MS: u64 = 800;
-/// How long a node tries to get a proposal committed.
-const PROPOSAL_TIMEOUT_MS: u64 = 1_500;
 /// Without a response for so long, a node sends its request to the leader again.
 const RESEND_AFTER_MS: u64 = 300;
-const TOPOLOGY: &str =
-    r#"{"zones":{"zone-0":{"region":"a"},"zone-1":{"region":"b"},"zone-2":{"region":"c"}}}"#;
 
 impl Simulation {
     pub(crate) fn operator_event(&mut self, event: OperatorEvent) -> Result<(), Failure> {
@@ -46,7 +42,7 @@
         Ok(())
     }
 
-    fn has_fault(&self, fault: PlantedFault) -> bool {
+    pub(crate) fn has_fault(&self, fault: PlantedFault) -> bool {
         self.profile
             .operators
             .is_some_and(|plan| plan.fault == Some(fault))
@@ -73,7 +69,7 @@
     }
 
     /// Takes a request to its next wait.
-    fn continue_request(&mut self, id: u64) -> Result<(), Failure> {
+    pub(crate) fn continue_request(&mut self, id: u64) -> Result<(), Failure> {
         let Some(request) = self.operators.requests.get(&id) else {
             return Ok(());
         };
@@ -255,102 +251,6 @@
         }
     }
 
-    /// Decides by the state, which is at least as new as the request.
-    fn decide(&mut self, id: u64) -> Result<(), Failure> {
-        let request = &self.operators.requests[&id];
-        let live = self.machines[request.machine]
-            .live
-            .as_ref()
-            .expect("the caller checked that it runs");
-        let state = &live.state;
-        let response = match &request.intent {
-            Intent::ReadConfiguration => Some(Response::Revision(state.config_document().revision)),
-            Intent::ReadZone { zone } => {
-                let zone = format!("zone-{zone}");
-                Some(Response::IsEvacuated(
-                    state.view.evacuated.contains(zone.as_str()),
-                ))
-            }
-            Intent::SetZone { .. } => None,
-            Intent::Change {
-                id,
-                based,
-                revision,
-            } => decide_change(state, id, *based, *revision),
-        };
-        if let Some(response) = response {
-            self.respond(id, response);
-            return Ok(());
-        }
-        let proposal = self.proposal(id);
-        let until_ms = self.now_ms + PROPOSAL_TIMEOUT_MS;
-        let request = self
-            .operators
-            .requests
-            .get_mut(&id)
-            .expect("the request is open");
-        request.phase = Phase::Submit(proposal);
-        request.until_ms = until_ms;
-        self.continue_request(id)
-    }
-
-    fn proposal(&self, id: u64) -> Proposal {
-        let request = &self.operators.requests[&id];
-        let live = self.machines[request.machine]
-            .live
-            .as_ref()
-            .expect("the caller checked that it runs");
-        match &request.intent {
-            Intent::Change {
-                id: change,
-                based,
-                revision,
-            } => {
-                let is_new = self.has_fault(PlantedFault::NewIdentifierPerAttempt);
-                let proposal_id = if is_new {
-                    format!("{change}-try-{id}")
-                } else {
-                    change.clone()
-                };
-                let config_document = ConfigDocument {
-                    revision: *revision,
-                    base_revision: *based,
-                    text: format!("# {change}"),
-                };
-                let command = Command::AdoptDocument {
-                    config_document,
-                    text: TOPOLOGY.into(),
-                };
-                Proposal {
-                    id: proposal_id,
-                    base_epoch: 0,
-                    command,
-                }
-            }
-            Intent::SetZone { zone, is_evacuated } => {
-                let zone = Name(format!("zone-{zone}"));
-                let command = match is_evacuated {
-                    true => Command::EvacuateZone(zone),
-                    false => Command::ReinstateZone(zone),
-                };
-                let is_fenced = !self.has_fault(PlantedFault::UnfencedEvacuation);
-                let base = if is_fenced {
-                    live.state.epoch().max(1)
-                } else {
-                    0
-                };
-                Proposal {
-                    id: format!("order-{id}"),
-                    base_epoch: base,
-                    command,
-                }
-            }
-            Intent::ReadConfiguration | Intent::ReadZone { .. } => {
-                unreachable!("reads are never proposed")
-            }
-        }
-    }
-
     fn conclude(&mut self, id: u64, outcome: Outcome) -> Result<(), Failure> {
         let is_change = matches!(self.operators.requests[&id].intent, Intent::Change { .. });
         let goes_on = is_change || self.has_fault(PlantedFault::ResubmittedAfterConflict);
@@ -382,7 +282,7 @@
     }
 
     /// Responds to the operator; the response may be lost on its way.
-    fn respond(&mut self, id: u64, response: Response) {
+    pub(crate) fn respond(&mut self, id: u64, response: Response) {
         let Some(request) = self.operators.requests.remove(&id) else {
             return;
         };
@@ -399,13 +299,3 @@
         self.schedule(delay, Event::Operator(event));
     }
 }
-
-fn decide_change(state: &State, id: &str, based: u64, revision: u64) -> Option<Response> {
-    let current = state.config_document().revision;
-    match () {
-        () if state.has_applied(id) => Some(Response::Applied),
-        () if based != current => Some(Response::Conflict),
-        () if revision <= current => Some(Response::RevisionNotAbove),
-        () => None,
-    }
-}
--- a/testbed/src/fleet/operator_request.rs
+++ b/testbed/src/fleet/operator_request.rs
@@ -1,6 +1,6 @@
 //! Requests to the operator APIs of processes, and waiting for conditions.
 
-use super::FleetError;
+use super::error::FleetError;
 use simd_json::prelude::*;
 use simd_json::OwnedValue;
 use std::net::SocketAddr;
--- a/testbed/src/fleet/process.rs
+++ b/testbed/src/fleet/process.rs
@@ -1,6 +1,7 @@
 //! One process of a fleet: its addresses, and the program that it runs.
 
-use super::{EngineSpec, FleetError};
+use super::deployment_spec::EngineSpec;
+use super::error::FleetError;
 use simd_json::{json, OwnedValue};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::path::PathBuf;
--- a/testbed/src/replay/clients.rs
+++ b/testbed/src/replay/clients.rs
@@ -1,6 +1,6 @@
 //! Simulated clients: where they send a request, and when they send it again.
 
-use super::{Targets, CLIENT_JOURNAL};
+use super::targets::{Targets, CLIENT_JOURNAL};
 use crate::client::{send_request, ClientOutcome, ClientRequest};
 use crate::journal::{wall_clock_us, Journal};
 use crate::workload::RecordedRequest;
--- a/testbed/src/replay/evidence.rs
+++ b/testbed/src/replay/evidence.rs
@@ -1,6 +1,6 @@
 //! Reads what a run left behind, and has it judged.
 
-use super::{CLIENT_JOURNAL, MACHINE_JOURNAL, OPERATOR_JOURNAL};
+use super::targets::{CLIENT_JOURNAL, MACHINE_JOURNAL, OPERATOR_JOURNAL};
 use crate::fleet::{Fleet, Process, ProcessKind};
 use crate::journal;
 use checker::{check, Deployment, Finding, Journals, Role};
--- a/testbed/src/replay/machines.rs
+++ b/testbed/src/replay/machines.rs
@@ -1,6 +1,6 @@
 //! Injects a workload's faults into the machines of a fleet.
 
-use super::MACHINE_JOURNAL;
+use super::targets::MACHINE_JOURNAL;
 use crate::fleet::{Fleet, FleetError, ProcessKind};
 use crate::journal::Journal;
 use crate::workload::MachineOperation;
--- a/testbed/src/replay/operators.rs
+++ b/testbed/src/replay/operators.rs
@@ -1,6 +1,6 @@
 //! Simulated operators: changes by the command line, and what became of them.
 
-use super::{Targets, OPERATOR_JOURNAL};
+use super::targets::{Targets, OPERATOR_JOURNAL};
 use crate::child_process;
 use crate::fleet::{operator_request, program};
 use crate::journal::{wall_clock_us, Journal};
--- a/testbed/src/workload/action.rs
+++ b/testbed/src/workload/action.rs
@@ -5,6 +5,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 use std::str::FromStr;
+use thiserror::Error;
 
 /// One line of a workload.
 #[derive(Debug, Clone, PartialEq)]
@@ -99,14 +100,22 @@
     }
 }
 
+/// A word that is no machine operation.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[error("{word} is none of {}", MachineOperation::ALL.map(MachineOperation::as_str).join(", "))]
+pub struct UnknownOperation {
+    /// The word.
+    pub word: String,
+}
+
 impl FromStr for MachineOperation {
-    type Err = super::LineError;
+    type Err = UnknownOperation;
 
-    fn from_str(text: &str) -> Result<MachineOperation, super::LineError> {
+    fn from_str(text: &str) -> Result<MachineOperation, UnknownOperation> {
         let mut all = MachineOperation::ALL.into_iter();
         all.find(|operation| operation.as_str() == text)
-            .ok_or_else(|| super::LineError::UnknownOperation {
-                operation: text.to_string(),
+            .ok_or_else(|| UnknownOperation {
+                word: text.to_string(),
             })
     }
 }
--- a/testbed/src/workload/error.rs
+++ b/testbed/src/workload/error.rs
@@ -1,6 +1,6 @@
 //! What is wrong with a workload, or with what one is generated from.
 
-use super::MachineOperation;
+use super::action::UnknownOperation;
 use residency::JsonError;
 use thiserror::Error;
 
@@ -33,11 +33,8 @@
         expected: &'static str,
     },
     /// A machine operation that does not exist.
-    #[error("machine: {operation} is none of {}", MachineOperation::ALL.map(MachineOperation::as_str).join(", "))]
-    UnknownOperation {
-        /// The word.
-        operation: String,
-    },
+    #[error("machine: {0}")]
+    UnknownOperation(#[from] UnknownOperation),
     /// The line is earlier than the one before.
     #[error("at: it goes back in time")]
     BackInTime,
--- a/testbed/tests/recorded_workload.rs
+++ b/testbed/tests/recorded_workload.rs
@@ -3,6 +3,7 @@
 
 mod common;
 
+use checker::log_messages;
 use common::*;
 use simd_json::prelude::*;
 use std::collections::BTreeSet;
@@ -75,6 +76,17 @@
         .filter(|line| text(line, "seen") == "whole")
         .count();
     // A checker that is handed nothing finds nothing.
+    for message in [
+        log_messages::ADMITTED,
+        log_messages::DISPATCHED,
+        log_messages::BODY_RECEIVED,
+    ] {
+        let is_logged = |line: &simd_json::OwnedValue| text(line, "what") == message;
+        assert!(
+            journals.nodes.iter().any(is_logged),
+            "no node logged {message:?}"
+        );
+    }
     assert!(
         whole * 2 > roots.len(),
         "{whole} of {}: {summary}",
