--- a/placement/tests/quota_leases/main.rs
+++ b/placement/tests/quota_leases/main.rs
@@ -2,11 +2,13 @@
 
 #[path = "../common/mod.rs"]
 mod common;
+mod plan;
 mod simulation;
 
 use placement::{LeaseRateLimiter, QuotaLeaseAllocator, STARTUP_RESERVE_RATIO};
+use plan::{quota, DisabledGuard, Faults, Plan, Traffic, HEARTBEAT_MS, TOLERANCE};
 use protocol::{RouterDemand, LEASE_MS};
-use simulation::{quota, run, DisabledGuard, Faults, Plan, Traffic, HEARTBEAT_MS, TOLERANCE};
+use simulation::run;
 
 /// The most that was admitted in a window that begins at `from` or later, as a
 /// part of what may be.
--- a/placement/tests/quota_leases/simulation.rs
+++ b/placement/tests/quota_leases/simulation.rs
@@ -1,53 +1,15 @@
 //! A fleet of routers and a leader in virtual time, with traffic and faults from a seed.
 
 use super::common::{draws, take_where, InFlight};
-use placement::{LeaseRateLimiter, QuotaLeaseAllocator, QuotaTolerance, RateLimit};
+use super::plan::{quota, DisabledGuard, Faults, Plan, Traffic, TOLERANCE};
+use placement::{LeaseRateLimiter, QuotaLeaseAllocator};
 use protocol::{RouterDemand, RouterGrants, LEASE_MS};
 
-pub const TOLERANCE: QuotaTolerance = QuotaTolerance {
-    overrun_factor: 1.1,
-    extra_requests: 20.0,
-    window_ms: 5_000,
-};
-pub const HEARTBEAT_MS: u64 = 350;
 const STEP_MS: u64 = 5;
 /// Traffic begins once a fleet that was started all at once has settled.
 const BEGIN_MS: u64 = 30_000;
 const END_MS: u64 = 90_000;
 
-/// A quota whose burst is a second's rate.
-pub fn quota(requests_per_s: u64) -> RateLimit {
-    RateLimit {
-        requests_per_s,
-        burst: requests_per_s,
-    }
-}
-
-/// What clients send: a multiple of the rate, or almost nothing and then ten times the rate.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Traffic {
-    Within,
-    /// The same, and each group of requests comes to one router.
-    Clustered,
-    Threefold,
-    Bursts,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Faults {
-    /// Delays and losses only.
-    None,
-    /// One kind only, every six seconds or so.
-    Pauses,
-    Partitions,
-    Restarts,
-    LeaderChanges,
-    /// All routers and the leader at once.
-    TotalLoss,
-    /// Anything at any time, several at once too.
-    All,
-}
-
 /// One fault.
 enum Fault {
     Pause,
@@ -58,31 +20,6 @@
     TotalLoss,
 }
 
-/// Which of the guards is disabled, to see that the bound is then exceeded.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum DisabledGuard {
-    None,
-    /// Answers to heartbeats of an earlier process are applied.
-    Connections,
-    /// Floors are in force from a process's start.
-    StartupFloors,
-    /// A new leader is not told what parts the routers have.
-    ReportedParts,
-}
-
-#[derive(Clone, Copy, Debug)]
-pub struct Plan {
-    pub routers: usize,
-    pub rate: u64,
-    pub traffic: Traffic,
-    pub faults: Faults,
-    /// The rate is lowered to a fifth at this time.
-    pub lowered_at_ms: Option<u64>,
-    pub disabled: DisabledGuard,
-    pub heartbeat_ms: u64,
-    pub seed: u64,
-}
-
 #[derive(Default)]
 pub struct RunResult {
     /// When requests were admitted.
