--- a/testbed/tests/commands.rs
+++ b/testbed/tests/commands.rs
@@ -44,7 +44,7 @@
     );
     let book = file(
         "book.json",
-        r#"{"cells":{"c":{"zone":"z"}},"rules":["door"]}"#,
+        r#"{"cells":{"c":{"zone":"z"}},"rules":["router_address"]}"#,
     );
     let rules = file("rules", "door a at \"/a/\" tenant bearer\nset fill much");
     let day = file("day", "{\"at\":1}\nnot json");
@@ -80,13 +80,13 @@
             event("w5", "SUMMARY:drain engine-1\r\nDTSTART;VALUE=DATE:20360105\r\nDTEND;VALUE=DATE:20360106"),
         ]),
     );
-    let shape = concat!(env!("CARGO_MANIFEST_DIR"), "/deployments/haatbari.json");
+    let deployment = concat!(env!("CARGO_MANIFEST_DIR"), "/deployments/haatbari.json");
     let melting = r#"[{"name":"x","events":[{"share":0.1,"machine":"melt","name":"router-1"}]}]"#;
     let melting = file("melting.json", melting);
     let drawn = |seeds: &'static str| {
         vec![
             "--deployment",
-            shape,
+            deployment,
             "--output-dir",
             "y",
             "--print",
@@ -130,7 +130,7 @@
             "scenarios",
             vec![
                 "--deployment",
-                shape,
+                deployment,
                 "--output-dir",
                 "y",
                 "--kinds",
@@ -143,7 +143,7 @@
             "scenarios",
             vec![
                 "--deployment",
-                shape,
+                deployment,
                 "--output-dir",
                 "y",
                 "--scenarios",
@@ -156,7 +156,7 @@
             "scenarios",
             vec![
                 "--deployment",
-                shape,
+                deployment,
                 "--output-dir",
                 "y",
                 "--scenarios",
@@ -325,15 +325,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_operator_changes_things_and_sees_them_in_force() {
-    let (folder, fleet) = up("operator").await;
-    let desks: Vec<String> = fleet
+    let (folder, fleet) = start_fleet("operator").await;
+    let operator_addresses: Vec<String> = fleet
         .operator_addresses()
         .iter()
-        .map(|desk| desk.to_string())
+        .map(|operator_address| operator_address.to_string())
         .collect();
-    let desks = desks.join(",");
+    let operator_addresses = operator_addresses.join(",");
     let operator = |args: &[&str], input: &str| {
-        let mut all = vec!["--operator-api", &desks];
+        let mut all = vec!["--operator-api", &operator_addresses];
         all.extend(args);
         let output = run("rushctl", &all, input);
         (output.status.code(), words(&output))
@@ -341,7 +341,7 @@
     let part = folder.0.join("part.json");
     std::fs::write(&part, r#"{"tenants":{"cleo":{"homes":["north"]}}}"#).expect("written");
     let part = part.display().to_string();
-    let door = fleet.get("router-2").client_address();
+    let router_address = fleet.get("router-2").client_address();
 
     let cases: Vec<(Vec<&str>, &str, i32, Vec<&str>)> = vec![
         (vec!["bootstrap"], "", 1, vec!["founded-already (409)"]),
@@ -478,7 +478,8 @@
         .await
         .expect("it turns");
     }
-    let (engine, _) = whole(door, &prompt("j-1", "cleo-key-0003", "hello")).await;
+    let (engine, _) =
+        complete_response(router_address, &prompt("j-1", "cleo-key-0003", "hello")).await;
     assert_eq!(
         engine, "engine-2",
         "the other engine of the cell is drained"
@@ -486,10 +487,10 @@
     let (code, found) = operator(&["key-remove", "--wait", "20"], "cleo-key-0003\n");
     assert_eq!(code, Some(0), "{found}");
     assert_eq!(
-        refused(door, &prompt("j-2", "cleo-key-0003", "x")).await,
+        rejection(router_address, &prompt("j-2", "cleo-key-0003", "x")).await,
         not_run(401, "unknown-key")
     );
-    // A key that is moving is never fresh: each of its jobs reaches a
+    // A key that is moving is never fresh: each of its requests reaches a
     // directory node, until the move is settled.
     let forwards = async || {
         fleet
@@ -499,7 +500,11 @@
     };
     let before = forwards().await;
     for n in 0..3 {
-        let (engine, _) = whole(door, &prompt(&format!("m-{n}"), "ben-key-0002", "x")).await;
+        let (engine, _) = complete_response(
+            router_address,
+            &prompt(&format!("m-{n}"), "ben-key-0002", "x"),
+        )
+        .await;
         assert_eq!(engine, "engine-2");
     }
     assert_eq!(forwards().await, before + 3);
@@ -509,7 +514,11 @@
     let (code, found) = operator(&["complete-move", "ben", "writer", "--wait", "20"], "");
     assert_eq!(code, Some(0), "{found}");
     for n in 3..6 {
-        whole(door, &prompt(&format!("m-{n}"), "ben-key-0002", "x")).await;
+        complete_response(
+            router_address,
+            &prompt(&format!("m-{n}"), "ben-key-0002", "x"),
+        )
+        .await;
     }
     assert_eq!(forwards().await, before + 4, "settled, it is cached again");
 }
--- a/testbed/tests/common/mod.rs
+++ b/testbed/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use testbed::client::{send_request, ClientOutcome, ClientRequest};
 use testbed::fleet::{wait_until, DeploymentSpec, Fleet, ProcessKind};
 
-pub const SHAPE: &str = r#"{
+pub const DEPLOYMENT: &str = r#"{
   "name": "small",
   "routers": { "north-a": 2, "south-a": 1 },
   "directories": { "north-a": 1, "south-a": 1, "west-a": 1 },
@@ -66,43 +66,49 @@
     }
 }
 
-pub async fn whole(door: SocketAddr, job: &ClientRequest) -> (String, bool) {
-    match send_request(door, job, Duration::from_secs(20)).await {
+pub async fn complete_response(
+    router_address: SocketAddr,
+    request: &ClientRequest,
+) -> (String, bool) {
+    match send_request(router_address, request, Duration::from_secs(20)).await {
         ClientOutcome::Complete {
             engine, is_warm, ..
         } => (engine, is_warm),
-        other => panic!("{}: {other:?}", job.id),
+        other => panic!("{}: {other:?}", request.id),
     }
 }
 
-pub async fn up(name: &str) -> (Folder, Fleet) {
+pub async fn start_fleet(name: &str) -> (Folder, Fleet) {
     let folder = Folder::new(name);
-    let shape = DeploymentSpec::parse(SHAPE).expect("the shape reads");
-    let mut fleet = Fleet::new(shape, &folder.0).expect("a fleet is laid out");
+    let spec = DeploymentSpec::parse(DEPLOYMENT).expect("the shape reads");
+    let mut fleet = Fleet::new(spec, &folder.0).expect("a fleet is laid out");
     fleet.bootstrap().await.expect("the fleet comes up");
     (folder, fleet)
 }
 
 /// The same, with a relay before every process, so that links can be cut.
-pub async fn up_with_relays(name: &str) -> (Folder, Fleet) {
+pub async fn start_fleet_with_relays(name: &str) -> (Folder, Fleet) {
     let folder = Folder::new(name);
-    let shape = DeploymentSpec::parse(SHAPE).expect("the shape reads");
-    let mut fleet = Fleet::new(shape, &folder.0).expect("a fleet is laid out");
+    let spec = DeploymentSpec::parse(DEPLOYMENT).expect("the shape reads");
+    let mut fleet = Fleet::new(spec, &folder.0).expect("a fleet is laid out");
     fleet.relay().await.expect("the relays listen");
     fleet.bootstrap().await.expect("the fleet comes up");
     (folder, fleet)
 }
 
 /// A refusal's status, outcome and code.
-pub async fn refused(door: SocketAddr, job: &ClientRequest) -> (u16, String, String) {
-    match send_request(door, job, Duration::from_secs(20)).await {
+pub async fn rejection(
+    router_address: SocketAddr,
+    request: &ClientRequest,
+) -> (u16, String, String) {
+    match send_request(router_address, request, Duration::from_secs(20)).await {
         ClientOutcome::Rejected {
             status,
             outcome,
             code,
             ..
         } => (status, outcome, code),
-        other => panic!("{}: {other:?}", job.id),
+        other => panic!("{}: {other:?}", request.id),
     }
 }
 
@@ -110,8 +116,8 @@
     (status, "not-run".into(), code.into())
 }
 
-/// The events that the engines wrote of one job, in the order of their times.
-pub fn events_of(fleet: &Fleet, job: &str) -> Vec<String> {
+/// The events that the engines wrote of one request, in the order of their times.
+pub fn engine_events(fleet: &Fleet, request: &str) -> Vec<String> {
     let mut events = Vec::new();
     for engine in fleet.of(ProcessKind::Engine) {
         let path = fleet.journals().join(format!("{}.jsonl", engine.name));
@@ -122,7 +128,7 @@
                     .unwrap_or("")
                     .to_string()
             };
-            if text("job") == job {
+            if text("job") == request {
                 let at = line.get("at").and_then(|v| v.as_u64()).unwrap_or(0);
                 events.push((at, text("event")));
             }
@@ -135,13 +141,13 @@
 /// Longer than anything here takes; where it runs out, something is wrong.
 pub const PATIENCE: Duration = Duration::from_secs(40);
 
-/// Sends one job after another until one is answered whole.
-pub async fn served(door: SocketAddr, key: &str, mark: &str) {
+/// Sends one request after another until one is answered completely.
+pub async fn wait_for_service(router_address: SocketAddr, key: &str, mark: &str) {
     let mut round = 0;
     wait_until(PATIENCE, "service", async || {
         round += 1;
-        let job = prompt(&format!("{mark}-{round}"), key, "once upon a time");
-        match send_request(door, &job, Duration::from_secs(10)).await {
+        let request = prompt(&format!("{mark}-{round}"), key, "once upon a time");
+        match send_request(router_address, &request, Duration::from_secs(10)).await {
             ClientOutcome::Complete { .. } => Ok(()),
             ClientOutcome::Corrupt(text) => panic!("{text}"),
             other => anyhow::bail!("{other:?}"),
@@ -151,13 +157,13 @@
     .expect("service comes back");
 }
 
-/// Sends one job after another until one is refused not-run with this code.
-pub async fn is_refused(door: SocketAddr, key: &str, mark: &str, wanted: &str) {
+/// Sends one request after another until one is refused not-run with this code.
+pub async fn wait_for_rejection(router_address: SocketAddr, key: &str, mark: &str, wanted: &str) {
     let mut round = 0;
     wait_until(PATIENCE, "a refusal", async || {
         round += 1;
-        let job = prompt(&format!("{mark}-{round}"), key, "once upon a time");
-        match send_request(door, &job, Duration::from_secs(10)).await {
+        let request = prompt(&format!("{mark}-{round}"), key, "once upon a time");
+        match send_request(router_address, &request, Duration::from_secs(10)).await {
             ClientOutcome::Rejected { code, outcome, .. }
                 if code == wanted && outcome == "not-run" =>
             {
@@ -170,10 +176,10 @@
     .expect("the router refuses");
 }
 
-/// Waits until an engine has written this of a job.
-pub async fn noted(fleet: &Fleet, job: &str, beginning: &str) {
+/// Waits until an engine has written this of a request.
+pub async fn wait_for_engine_event(fleet: &Fleet, request: &str, beginning: &str) {
     wait_until(PATIENCE, beginning, async || {
-        let events = events_of(fleet, job);
+        let events = engine_events(fleet, request);
         anyhow::ensure!(
             events.iter().any(|event| event.starts_with(beginning)),
             "{events:?}"
--- a/testbed/tests/dispatch_guard.rs
+++ b/testbed/tests/dispatch_guard.rs
@@ -1,5 +1,5 @@
 //! The last look before the first byte, at real sockets: what changes between
-//! any two looks must keep the job's bytes back.
+//! any two looks must keep the request's bytes back.
 
 use bytes::Bytes;
 use dispatch::engine_tracker::{EngineTracker, Selection};
@@ -18,7 +18,7 @@
 const VITALS: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 const LINE: &str = "{\"running\":0,\"queue\":0,\"slots\":8,\"warm\":true,\"draining\":false}\n";
 
-/// A raw engine: says these vitals, and keeps every byte of every job.
+/// A raw engine: says these vitals, and keeps every byte of every request.
 async fn engine(line: &'static str) -> (SocketAddr, Arc<Mutex<Vec<u8>>>) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
--- a/testbed/tests/failures.rs
+++ b/testbed/tests/failures.rs
@@ -46,9 +46,9 @@
 /// everything stops, service returns.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leader_and_then_all_nodes_are_killed() {
-    let (_folder, mut fleet) = up("killed").await;
-    let door = fleet.get("router-1").client_address();
-    served(door, ANA, "before").await;
+    let (_folder, mut fleet) = start_fleet("killed").await;
+    let router_address = fleet.get("router-1").client_address();
+    wait_for_service(router_address, ANA, "before").await;
     let leader = fleet.leader().await.expect("somebody leads");
     let evacuate = json!({ "do": "evacuate", "zone": "south-a", "id": "evacuation" });
     let epoch = fleet
@@ -58,7 +58,7 @@
     fleet.kill(&leader);
     // The same proposal again, to whoever leads now, is known.
     assert_eq!(fleet.submit(evacuate.clone()).await.expect("known"), epoch);
-    served(door, ANA, "led-anew").await;
+    wait_for_service(router_address, ANA, "led-anew").await;
 
     let nodes: Vec<String> = fleet
         .of(ProcessKind::Directory)
@@ -67,11 +67,11 @@
         .collect();
     nodes.iter().for_each(|node| fleet.kill(node));
     // Guards: a router without a recent lease refuses, and says not-run.
-    is_refused(door, ANA, "cut", "no-lease").await;
+    wait_for_rejection(router_address, ANA, "cut", "no-lease").await;
     nodes
         .iter()
         .for_each(|node| fleet.start(node).expect("it starts"));
-    served(door, ANA, "back").await;
+    wait_for_service(router_address, ANA, "back").await;
     assert_eq!(fleet.submit(evacuate).await.expect("still known"), epoch);
     let status = operator_request(
         fleet.operator_addresses()[0],
@@ -89,7 +89,7 @@
 /// retired. A minority refuses changes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_disk_is_lost_and_a_minority_is_left() {
-    let (_folder, mut fleet) = up("disk").await;
+    let (_folder, mut fleet) = start_fleet("disk").await;
     let leader = fleet.leader().await.expect("somebody leads");
     let names: Vec<String> = fleet
         .of(ProcessKind::Directory)
@@ -101,19 +101,19 @@
         .find(|name| **name != leader)
         .expect("three nodes")
         .clone();
-    let desk = fleet.get(&leader).operator_address();
-    let before = voters(&fleet, desk).await.expect("told");
+    let operator_address = fleet.get(&leader).operator_address();
+    let before = voters(&fleet, operator_address).await.expect("told");
     fleet.kill(&lost);
     fleet.delete_data(&lost).expect("its folder goes");
     fleet.start(&lost).expect("it starts");
     wait_until(PATIENCE, "the new voter", async || {
-        let after = voters(&fleet, desk).await?;
+        let after = voters(&fleet, operator_address).await?;
         anyhow::ensure!(after.len() == 3 && after != before, "{after:?}");
         Ok(())
     })
     .await
     .expect("it is a voter again");
-    let after = voters(&fleet, desk).await.expect("told");
+    let after = voters(&fleet, operator_address).await.expect("told");
     let identity = |list: &[(String, String)]| {
         list.iter()
             .find(|(name, _)| *name == lost)
@@ -138,7 +138,7 @@
         .iter()
         .for_each(|name| fleet.start(name).expect("it starts"));
     fleet.submit(change).await.expect("a majority takes it");
-    served(fleet.get("router-1").client_address(), ANA, "after").await;
+    wait_for_service(fleet.get("router-1").client_address(), ANA, "after").await;
 }
 
 /// Guards: an acknowledged change is on a majority's disks. A leader whose disk
@@ -146,9 +146,9 @@
 /// says that it is not well until it is restarted on a disk that works.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_leaders_disk_fails() {
-    let (_folder, mut fleet) = up("broken-disk").await;
+    let (_folder, mut fleet) = start_fleet("broken-disk").await;
     let leader = fleet.leader().await.expect("somebody leads");
-    let desk = fleet.get(&leader).operator_address();
+    let operator_address = fleet.get(&leader).operator_address();
     let log = fleet.output_dir.join("data").join(&leader).join("log");
     let aside = fleet.output_dir.join("aside");
     std::fs::rename(&log, &aside).expect("its log goes");
@@ -164,20 +164,21 @@
     })
     .await
     .expect("it steps down");
-    let error = operator_request(desk, "GET", "/vitals", &OwnedValue::null())
+    let error = operator_request(operator_address, "GET", "/vitals", &OwnedValue::null())
         .await
         .expect_err("it is not well");
     assert!(
         error.to_string().contains("\"disk_stalled\":true"),
         "{error}"
     );
-    served(fleet.get("router-1").client_address(), ANA, "meanwhile").await;
+    wait_for_service(fleet.get("router-1").client_address(), ANA, "meanwhile").await;
 
     fleet.kill(&leader);
     std::fs::rename(&aside, &log).expect("its log comes back");
     fleet.start(&leader).expect("it starts");
     wait_until(PATIENCE, "its return", async || {
-        let vitals = operator_request(desk, "GET", "/vitals", &OwnedValue::null()).await?;
+        let vitals =
+            operator_request(operator_address, "GET", "/vitals", &OwnedValue::null()).await?;
         let at = vitals.get("epoch").and_then(|v| v.as_u64());
         anyhow::ensure!(at >= Some(epoch), "it has {at:?}");
         Ok(())
@@ -190,7 +191,7 @@
 /// A damaged segment stops its node, with the file, the place and the way back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_damaged_segment_stops_its_node() {
-    let (folder, mut fleet) = up("damage").await;
+    let (folder, mut fleet) = start_fleet("damage").await;
     let leader = fleet.leader().await.expect("somebody leads");
     let node = fleet
         .of(ProcessKind::Directory)
@@ -223,9 +224,12 @@
     fleet.kill(&node);
     fleet.delete_data(&node).expect("its folder goes");
     fleet.start(&node).expect("it starts");
-    let desk = fleet.get(&leader).operator_address();
+    let operator_address = fleet.get(&leader).operator_address();
     wait_until(PATIENCE, "the new voter", async || {
-        anyhow::ensure!(voters(&fleet, desk).await?.len() == 3, "not yet");
+        anyhow::ensure!(
+            voters(&fleet, operator_address).await?.len() == 3,
+            "not yet"
+        );
         Ok(())
     })
     .await
@@ -236,16 +240,16 @@
 /// older epoch.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_freezes_and_wakes_to_a_key_that_is_gone() {
-    let (_folder, fleet) = up("frozen").await;
-    let door = fleet.get("router-1").client_address();
-    served(door, ANA, "before").await;
+    let (_folder, fleet) = start_fleet("frozen").await;
+    let router_address = fleet.get("router-1").client_address();
+    wait_for_service(router_address, ANA, "before").await;
     fleet
         .signal("router-1", Signal::SIGSTOP)
         .expect("it freezes");
-    // A job waits in the frozen router's socket.
+    // A request waits in the frozen router's socket.
     let waiting = tokio::spawn(async move {
-        let job = prompt("late", "ana-key-0001", "once upon a time");
-        send_request(door, &job, Duration::from_secs(60)).await
+        let request = prompt("late", "ana-key-0001", "once upon a time");
+        send_request(router_address, &request, Duration::from_secs(60)).await
     });
     fleet
         .submit(json!({ "do": "key-gone", "key": "ana-key-0001" }))
@@ -271,29 +275,30 @@
         "{seen:?}"
     );
     assert!(
-        events_of(&fleet, "late").is_empty(),
+        engine_events(&fleet, "late").is_empty(),
         "nothing reached an engine"
     );
-    is_refused(door, ANA, "after", "unknown-key").await;
+    wait_for_rejection(router_address, ANA, "after", "unknown-key").await;
 }
 
 /// Guards: a stream never looks finished when it is not; nothing that is not
-/// repeatable runs twice; who leaves cancels its job.
+/// repeatable runs twice; who leaves cancels its request.
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_die_within_answers_and_callers_leave() {
-    let (_folder, mut fleet) = up("engines").await;
-    let door = fleet.get("router-1").client_address();
+    let (_folder, mut fleet) = start_fleet("engines").await;
+    let router_address = fleet.get("router-1").client_address();
     // Slow engines in place of the quick ones.
     for name in ["engine-1", "engine-2"] {
         fleet.kill(name);
         set_chunk_ms(&mut fleet, name, 300);
         fleet.start(name).expect("it starts");
     }
-    served(door, ANA, "before").await;
-    let job = prompt("broken", "ana-key-0001", "a long story");
-    let caller =
-        tokio::spawn(async move { send_request(door, &job, Duration::from_secs(30)).await });
-    noted(&fleet, "broken", "begun").await;
+    wait_for_service(router_address, ANA, "before").await;
+    let request = prompt("broken", "ana-key-0001", "a long story");
+    let caller = tokio::spawn(async move {
+        send_request(router_address, &request, Duration::from_secs(30)).await
+    });
+    wait_for_engine_event(&fleet, "broken", "begun").await;
     for name in ["engine-1", "engine-2"] {
         fleet.kill(name);
     }
@@ -305,53 +310,56 @@
     };
     assert!(is_visible, "{seen:?}");
     assert_eq!(
-        events_of(&fleet, "broken")
+        engine_events(&fleet, "broken")
             .iter()
             .filter(|e| e.starts_with("begun"))
             .count(),
         1
     );
     // With all engines of the only home gone, refusals are not-run.
-    is_refused(door, ANA, "none", "no-engine").await;
+    wait_for_rejection(router_address, ANA, "none", "no-engine").await;
     for name in ["engine-1", "engine-2"] {
         fleet.start(name).expect("it starts");
     }
-    served(door, ANA, "again").await;
+    wait_for_service(router_address, ANA, "again").await;
 
-    // Guards: nothing that is not repeatable runs twice, also where its caller
+    // Guards: nothing that is not repeatable runs twice, also where its client
     // sends it again while it is on its way.
-    let job = prompt("again", "ana-key-0001", "a long story");
+    let request = prompt("again", "ana-key-0001", "a long story");
     let first = {
-        let job = prompt("again", "ana-key-0001", "a long story");
-        tokio::spawn(async move { send_request(door, &job, Duration::from_secs(30)).await })
+        let request = prompt("again", "ana-key-0001", "a long story");
+        tokio::spawn(async move {
+            send_request(router_address, &request, Duration::from_secs(30)).await
+        })
     };
-    noted(&fleet, "again", "begun").await;
+    wait_for_engine_event(&fleet, "again", "begun").await;
     let unknown = (409, "unknown".to_string(), "job-under-way".to_string());
-    assert_eq!(refused(door, &job).await, unknown);
+    assert_eq!(rejection(router_address, &request).await, unknown);
     assert!(matches!(
         first.await.expect("it ends"),
         ClientOutcome::Complete { .. }
     ));
     assert_eq!(
-        events_of(&fleet, "again")
+        engine_events(&fleet, "again")
             .iter()
             .filter(|e| e.starts_with("begun"))
             .count(),
         1
     );
 
-    let job = prompt("left", "ana-key-0001", "a long story");
-    let leaving =
-        tokio::spawn(async move { send_request(door, &job, Duration::from_secs(30)).await });
-    noted(&fleet, "left", "begun").await;
+    let request = prompt("left", "ana-key-0001", "a long story");
+    let leaving = tokio::spawn(async move {
+        send_request(router_address, &request, Duration::from_secs(30)).await
+    });
+    wait_for_engine_event(&fleet, "left", "begun").await;
     leaving.abort();
-    noted(&fleet, "left", "cancelled").await;
+    wait_for_engine_event(&fleet, "left", "cancelled").await;
 }
 
 /// A port that is fed garbage, or another epoch, closes that connection only.
 #[tokio::test(flavor = "multi_thread")]
 async fn garbage_closes_its_own_connection_only() {
-    let (_folder, fleet) = up("garbage").await;
+    let (_folder, fleet) = start_fleet("garbage").await;
     let (router, node) = (fleet.get("router-1"), fleet.get("directory-1"));
     let mut hello = protocol::encode(&protocol::Frame::Hello {
         version: protocol::VERSION,
@@ -408,17 +416,17 @@
                 .expect("closed"),
         );
     }
-    served(router.client_address(), ANA, "after").await;
+    wait_for_service(router.client_address(), ANA, "after").await;
 }
 
-/// Guards: a revision that takes a key away holds also for a caller that was
+/// Guards: a revision that takes a key away holds also for a client that was
 /// connected, and let in, before.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_is_taken_from_a_caller_that_is_still_sending() {
-    let (_folder, fleet) = up("key").await;
-    let door = fleet.get("router-1").client_address();
-    served(door, ANA, "before").await;
-    let mut stream = tokio::net::TcpStream::connect(door)
+    let (_folder, fleet) = start_fleet("key").await;
+    let router_address = fleet.get("router-1").client_address();
+    wait_for_service(router_address, ANA, "before").await;
+    let mut stream = tokio::net::TcpStream::connect(router_address)
         .await
         .expect("it listens");
     let head = "POST /app/write HTTP/1.1\r\nhost: x\r\nx-rushport-job: slow\r\n\
@@ -450,26 +458,27 @@
         "{answer}"
     );
     assert!(
-        events_of(&fleet, "slow").is_empty(),
+        engine_events(&fleet, "slow").is_empty(),
         "nothing reached an engine"
     );
 }
 
-/// Orderly stop: what runs is finished, new jobs are refused.
+/// Orderly stop: what runs is finished, new requests are refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_is_asked_to_stop_finishes_its_streams() {
-    let (_folder, mut fleet) = up("stop").await;
-    let door = fleet.get("router-1").client_address();
-    served(door, ANA, "before").await;
-    let job = prompt("running", "ana-key-0001", "once upon a time");
-    let caller =
-        tokio::spawn(async move { send_request(door, &job, Duration::from_secs(30)).await });
-    noted(&fleet, "running", "begun").await;
+    let (_folder, mut fleet) = start_fleet("stop").await;
+    let router_address = fleet.get("router-1").client_address();
+    wait_for_service(router_address, ANA, "before").await;
+    let request = prompt("running", "ana-key-0001", "once upon a time");
+    let caller = tokio::spawn(async move {
+        send_request(router_address, &request, Duration::from_secs(30)).await
+    });
+    wait_for_engine_event(&fleet, "running", "begun").await;
     let status = fleet.stop("router-1").expect("it stops");
     assert!(status.success(), "{status}");
     let seen = caller.await.expect("the caller ends");
     assert!(matches!(seen, ClientOutcome::Complete { .. }), "{seen:?}");
     let status = fleet.stop("directory-1").expect("it stops");
     assert!(status.success(), "{status}");
-    served(fleet.get("router-2").client_address(), ANA, "after").await;
+    wait_for_service(fleet.get("router-2").client_address(), ANA, "after").await;
 }
--- a/testbed/tests/fleet.rs
+++ b/testbed/tests/fleet.rs
@@ -12,11 +12,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_miss_goes_through_the_directory_and_a_fresh_hit_does_not() {
-    let (_folder, fleet) = up("path").await;
-    let door = fleet.get("router-1").client_address();
+    let (_folder, fleet) = start_fleet("path").await;
+    let router_address = fleet.get("router-1").client_address();
     let count = async |kind, name: &str| fleet.count(kind, name).await.expect("counters are told");
 
-    let (first, _) = whole(door, &prompt("j-1", "ana-key-0001", "once upon a time")).await;
+    let (first, _) = complete_response(
+        router_address,
+        &prompt("j-1", "ana-key-0001", "once upon a time"),
+    )
+    .await;
     assert_eq!(
         count(ProcessKind::Router, "forwards").await,
         1,
@@ -25,8 +29,8 @@
     assert_eq!(count(ProcessKind::Directory, "jobs-forwarded").await, 1);
     let resolves = count(ProcessKind::Directory, "resolves").await;
     for n in 2..12 {
-        let job = prompt(&format!("j-{n}"), "ana-key-0001", "once upon a time");
-        let (engine, is_warm) = whole(door, &job).await;
+        let request = prompt(&format!("j-{n}"), "ana-key-0001", "once upon a time");
+        let (engine, is_warm) = complete_response(router_address, &request).await;
         assert_eq!(engine, first, "the prefix keeps to its engine");
         assert!(is_warm);
     }
@@ -52,7 +56,7 @@
         .await
         .expect("the mapping is in the shared layer");
     let other = fleet.get("router-2").client_address();
-    whole(other, &prompt("j-20", "ana-key-0001", "once upon a time")).await;
+    complete_response(other, &prompt("j-20", "ana-key-0001", "once upon a time")).await;
     assert_eq!(count(ProcessKind::Router, "shared-fresh").await, 1);
     assert_eq!(count(ProcessKind::Directory, "jobs-forwarded").await, 1);
 
@@ -65,7 +69,7 @@
         headers: Vec::new(),
         body: br#"{"prompt":"a form","key":"ben-key-0002","model":"writer"}"#.to_vec(),
     };
-    let (engine, _) = whole(fleet.get("router-3").client_address(), &form).await;
+    let (engine, _) = complete_response(fleet.get("router-3").client_address(), &form).await;
     assert_eq!(engine, "engine-3", "ben lives in the south first");
     let thumb = ClientRequest {
         id: "j-31".into(),
@@ -74,10 +78,10 @@
         headers: Vec::new(),
         body: Vec::new(),
     };
-    whole(door, &thumb).await;
+    complete_response(router_address, &thumb).await;
 
     assert_eq!(
-        refused(door, &prompt("j-40", "nobody", "x")).await,
+        rejection(router_address, &prompt("j-40", "nobody", "x")).await,
         not_run(401, "unknown-key")
     );
     // Guards: a prompt with a home never leaves it. Pictures are served in the
@@ -87,7 +91,10 @@
         id: "j-41".into(),
         ..thumb
     };
-    assert_eq!(refused(door, &away).await, not_run(503, "no-place"));
+    assert_eq!(
+        rejection(router_address, &away).await,
+        not_run(503, "no-place")
+    );
 
     // Evacuating the only home leaves nowhere to go.
     let epoch = fleet
@@ -98,7 +105,8 @@
         .in_force(epoch, Duration::from_secs(20))
         .await
         .expect("in force");
-    let (status, outcome, _) = refused(door, &prompt("j-50", "ana-key-0001", "x")).await;
+    let (status, outcome, _) =
+        rejection(router_address, &prompt("j-50", "ana-key-0001", "x")).await;
     assert_eq!((status, outcome.as_str()), (503, "not-run"));
     let epoch = fleet
         .submit(json!({ "do": "give-back", "zone": "north-a" }))
@@ -108,15 +116,19 @@
         .in_force(epoch, Duration::from_secs(20))
         .await
         .expect("in force");
-    whole(door, &prompt("j-51", "ana-key-0001", "once upon a time")).await;
+    complete_response(
+        router_address,
+        &prompt("j-51", "ana-key-0001", "once upon a time"),
+    )
+    .await;
 }
 
-/// A key past the cap: the whole job goes to a directory node, which looks
+/// A key past the cap: the whole request goes to a directory node, which looks
 /// further. A body past its bound goes nowhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn long_bodies() {
-    let (_folder, fleet) = up("long").await;
-    let door = fleet.get("router-1").client_address();
+    let (_folder, fleet) = start_fleet("long").await;
+    let router_address = fleet.get("router-1").client_address();
     let form = |id: &str, length: usize| ClientRequest {
         id: id.into(),
         method: "POST".into(),
@@ -128,7 +140,7 @@
         )
         .into_bytes(),
     };
-    whole(door, &form("j-1", 200_000)).await;
+    complete_response(router_address, &form("j-1", 200_000)).await;
     assert_eq!(
         fleet
             .count(ProcessKind::Router, "unkeyed")
@@ -137,11 +149,11 @@
         1
     );
     assert_eq!(
-        refused(door, &form("j-2", 1_200_000)).await,
+        rejection(router_address, &form("j-2", 1_200_000)).await,
         not_run(401, "no-key")
     );
     // Announced as too long, it is refused before a byte of it is read.
-    let mut stream = tokio::net::TcpStream::connect(door)
+    let mut stream = tokio::net::TcpStream::connect(router_address)
         .await
         .expect("it listens");
     let head = "POST /form/write HTTP/1.1\r\nhost: x\r\ncontent-length: 17000000\r\n\r\n";
@@ -155,28 +167,34 @@
     );
     // A key in the head: the rest of a long body streams by.
     let mut long = prompt("j-4", "ana-key-0001", &"y".repeat(3_000_000));
-    whole(door, &long).await;
+    complete_response(router_address, &long).await;
     long.id = "j-5".into();
-    whole(door, &long).await;
+    complete_response(router_address, &long).await;
     let bad = ClientRequest {
         body: b"{\"key\": nonsense".to_vec(),
         ..form("j-6", 0)
     };
-    assert_eq!(refused(door, &bad).await, not_run(401, "no-key"));
-    for job in ["j-2", "j-6"] {
-        assert!(events_of(&fleet, job).is_empty(), "{job} reached an engine");
+    assert_eq!(
+        rejection(router_address, &bad).await,
+        not_run(401, "no-key")
+    );
+    for request in ["j-2", "j-6"] {
+        assert!(
+            engine_events(&fleet, request).is_empty(),
+            "{request} reached an engine"
+        );
     }
 }
 
-/// The miss path at its edges, with one node that takes one job at a time, a
+/// The miss path at its edges, with one node that takes one request at a time, a
 /// router that is quick to give slow bodies up, and mappings that are stale at
 /// once.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_miss_path_at_its_edges() {
     let folder = Folder::new("edges");
-    let text = SHAPE.replace(r#""ana": { "homes""#, r#""ana": { "fresh": "1ms", "homes""#);
-    let shape = DeploymentSpec::parse(&text).expect("the shape reads");
-    let mut fleet = Fleet::new(shape, &folder.0).expect("a fleet is laid out");
+    let text = DEPLOYMENT.replace(r#""ana": { "homes""#, r#""ana": { "fresh": "1ms", "homes""#);
+    let spec = DeploymentSpec::parse(&text).expect("the shape reads");
+    let mut fleet = Fleet::new(spec, &folder.0).expect("a fleet is laid out");
     let set = |fleet: &mut Fleet, name: &str, args: &[&str]| {
         let args = args.iter().map(|arg| arg.to_string()).collect();
         fleet.processes.get_mut(name).expect("it is there").args = args;
@@ -188,13 +206,13 @@
         set_chunk_ms(&mut fleet, name, 120);
     }
     fleet.bootstrap().await.expect("the fleet comes up");
-    let door = fleet.get("router-1").client_address();
+    let router_address = fleet.get("router-1").client_address();
     let count = async |name: &str| fleet.count(ProcessKind::Router, name).await.expect("told");
 
     // Stale at once: routed by what is known, refreshed behind, no forward.
     for n in 0..3 {
-        whole(
-            door,
+        complete_response(
+            router_address,
             &prompt(&format!("s-{n}"), "ana-key-0001", "once upon a time"),
         )
         .await;
@@ -210,21 +228,21 @@
     .await
     .expect("it is refreshed behind");
 
-    // Never fresh: every job is forwarded. A node at its budget hands back.
+    // Never fresh: every request is forwarded. A node at its budget hands back.
     let change = json!({ "do": "move", "tenant": "ana", "service": "writer", "cell": "north-1" });
     let epoch = fleet.submit(change).await.expect("taken");
     fleet
         .in_force(epoch, Duration::from_secs(20))
         .await
         .expect("in force");
-    let jobs: Vec<_> = (0..4)
+    let requests: Vec<_> = (0..4)
         .map(|n| {
-            let job = prompt(&format!("m-{n}"), "ana-key-0001", &format!("a tale {n}"));
-            tokio::spawn(async move { whole(door, &job).await })
+            let request = prompt(&format!("m-{n}"), "ana-key-0001", &format!("a tale {n}"));
+            tokio::spawn(async move { complete_response(router_address, &request).await })
         })
         .collect();
-    for job in jobs {
-        job.await.expect("all are answered");
+    for request in requests {
+        request.await.expect("all are answered");
     }
     assert!(count("handed-back").await + count("joined").await >= 1);
 
@@ -237,7 +255,7 @@
     }
     let mut late = prompt("d-1", "ana-key-0001", "a long tale, with little time");
     late.headers.push(("x-deadline-ms".into(), "300".into()));
-    let (status, outcome, code) = refused(door, &late).await;
+    let (status, outcome, code) = rejection(router_address, &late).await;
     assert!(
         matches!(
             (status, outcome.as_str()),
@@ -250,9 +268,9 @@
             .signal(name, nix::sys::signal::Signal::SIGCONT)
             .expect("it wakes");
     }
-    served(door, "ana-key-0001", "again").await;
+    wait_for_service(router_address, "ana-key-0001", "again").await;
     if outcome == "not-run" {
-        assert!(events_of(&fleet, "d-1")
+        assert!(engine_events(&fleet, "d-1")
             .iter()
             .all(|event| !event.starts_with("begun")));
     }
@@ -271,7 +289,7 @@
         "{answer}"
     );
 
-    // A router at its bound of jobs says so, and takes the next one after.
+    // A router at its bound of requests says so, and takes the next one after.
     let router = fleet.get("router-3");
     let mut stream = tokio::net::TcpStream::connect(router.client_address())
         .await
@@ -293,15 +311,15 @@
     .expect("it is under way");
     let second = prompt("f-1", "ben-key-0002", "x");
     assert_eq!(
-        refused(router.client_address(), &second).await,
+        rejection(router.client_address(), &second).await,
         not_run(503, "router-full")
     );
     drop(stream);
-    served(router.client_address(), "ben-key-0002", "f").await;
+    wait_for_service(router.client_address(), "ben-key-0002", "f").await;
 
     // With no node left that may see the body, the key goes alone.
     fleet.kill("directory-1");
-    served(door, "ana-key-0001", "alone").await;
+    wait_for_service(router_address, "ana-key-0001", "alone").await;
     assert!(
         fleet
             .count(ProcessKind::Router, "key-only")
@@ -312,12 +330,12 @@
 }
 
 /// Guards: a tenant gets not much past its quota, and one within it is not
-/// refused, though its callers come by several routers and the leader falls.
+/// refused, though its clients come by several routers and the leader falls.
 #[tokio::test(flavor = "multi_thread")]
 async fn quotas_hold_over_all_routers() {
     let folder = Folder::new("quota");
-    let shape = DeploymentSpec::parse(SHAPE).expect("the shape reads");
-    let mut fleet = Fleet::new(shape, &folder.0).expect("a fleet is laid out");
+    let spec = DeploymentSpec::parse(DEPLOYMENT).expect("the shape reads");
+    let mut fleet = Fleet::new(spec, &folder.0).expect("a fleet is laid out");
     // However long an election takes on a busy machine.
     for name in ["router-1", "router-2", "router-3"] {
         let args = ["--quota-ms", "30000"].map(String::from).to_vec();
@@ -329,18 +347,23 @@
     } } });
     let epoch = fleet.submit(terms).await.expect("taken");
     fleet.in_force(epoch, PATIENCE).await.expect("in force");
-    let doors: Vec<_> = fleet
+    let router_addresses: Vec<_> = fleet
         .of(ProcessKind::Router)
         .iter()
         .map(|router| router.client_address())
         .collect();
     let begun = std::time::Instant::now();
-    let mut jobs = tokio::task::JoinSet::new();
+    let mut requests = tokio::task::JoinSet::new();
     for n in 0..60 {
-        let door = doors[n % doors.len()];
+        let router_address = router_addresses[n % router_addresses.len()];
         for (tenant, key) in [("ana", "ana-key-0001"), ("ben", "ben-key-0002")] {
-            let job = prompt(&format!("{tenant}-{n}"), key, "once upon a time");
-            jobs.spawn(async move { (tenant, send_request(door, &job, PATIENCE).await) });
+            let request = prompt(&format!("{tenant}-{n}"), key, "once upon a time");
+            requests.spawn(async move {
+                (
+                    tenant,
+                    send_request(router_address, &request, PATIENCE).await,
+                )
+            });
         }
         if n == 30 {
             let leader = fleet.leader().await.expect("somebody leads");
@@ -348,7 +371,7 @@
         }
     }
     let (mut let_in, mut refused) = (0, 0);
-    while let Some(done) = jobs.join_next().await {
+    while let Some(done) = requests.join_next().await {
         match done.expect("the caller ends") {
             ("ana", ClientOutcome::Complete { .. }) => let_in += 1,
             ("ana", ClientOutcome::Rejected { code, outcome, .. }) if code == "quota" => {
@@ -372,20 +395,20 @@
     );
 }
 
-/// Guards: a tenant gets not much past its quota, also by jobs whose key lies so
+/// Guards: a tenant gets not much past its quota, also by requests whose key lies so
 /// far in that no router reads it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_that_no_router_reads_is_charged() {
-    let (_folder, fleet) = up("charged").await;
+    let (_folder, fleet) = start_fleet("charged").await;
     let terms = json!({ "do": "revise", "whole": false, "book": { "tenants": {
         "ana": { "pace": 1, "burst": 2 },
     } } });
     let epoch = fleet.submit(terms).await.expect("taken");
     fleet.in_force(epoch, PATIENCE).await.expect("in force");
     let begun = std::time::Instant::now();
-    let mut jobs = tokio::task::JoinSet::new();
+    let mut requests = tokio::task::JoinSet::new();
     for n in 0..16 {
-        let job = ClientRequest {
+        let request = ClientRequest {
             id: format!("far-{n}"),
             method: "POST".into(),
             target: "/form/write".into(),
@@ -396,11 +419,11 @@
             )
             .into_bytes(),
         };
-        let door = fleet.get(["router-1", "router-2"][n % 2]).client_address();
-        jobs.spawn(async move { send_request(door, &job, PATIENCE).await });
+        let router_address = fleet.get(["router-1", "router-2"][n % 2]).client_address();
+        requests.spawn(async move { send_request(router_address, &request, PATIENCE).await });
     }
     let (mut let_in, mut refused) = (0, 0);
-    while let Some(done) = jobs.join_next().await {
+    while let Some(done) = requests.join_next().await {
         match done.expect("the caller ends") {
             ClientOutcome::Complete { .. } => let_in += 1,
             ClientOutcome::Rejected { code, outcome, .. } if code == "quota" => {
--- a/testbed/tests/forwarding.rs
+++ b/testbed/tests/forwarding.rs
@@ -89,7 +89,7 @@
             service: service.into(),
             regions: vec!["north".into()],
             cells: vec!["north-1".into()],
-            // Hardly kept, so that each job is a miss.
+            // Hardly kept, so that each request is a miss.
             fresh_ms: 0,
             expire_ms: 0,
             epoch: self.state.epoch(),
@@ -263,7 +263,7 @@
 
 struct Site {
     node: Arc<Node>,
-    door: SocketAddr,
+    router_address: SocketAddr,
 }
 
 fn state() -> State {
@@ -337,7 +337,7 @@
             lease_grace_ms: 0,
             heartbeat_interval_ms: 100,
         };
-        let door = settings.ingress_address;
+        let router_address = settings.ingress_address;
         tokio::spawn(async move {
             // No engine stands here, so that none is waited for.
             let options = dispatch::DispatchOptions {
@@ -350,7 +350,10 @@
             };
             router::run(settings, extensions).await.expect("it runs");
         });
-        let site = Site { node, door };
+        let site = Site {
+            node,
+            router_address,
+        };
         let until = Instant::now() + PATIENCE;
         while !matches!(site.send("once", "first").await, Told::Own) {
             assert!(Instant::now() < until, "it never serves");
@@ -374,7 +377,7 @@
         let target = format!("/app/{route}");
         // Cut visibly, or broken off.
         let asked = transport::http_client::send_request(
-            self.door,
+            self.router_address,
             "POST",
             &target,
             &headers,
@@ -414,9 +417,9 @@
     Broken,
 }
 
-/// Guards: a job that was handed on in part is never said not to have run unless the
+/// Guards: a request that was handed on in part is never said not to have run unless the
 /// node says so; one that may run once is handed on once; an answer without its end is
-/// broken off; and the next job gets its own answer.
+/// broken off; and the next request gets its own answer.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_conversation_that_breaks_anywhere() {
     let site = Site::start().await;
@@ -467,7 +470,7 @@
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
-/// The frames of a whole job, as a router sends them after the node's welcome.
+/// The frames of a whole request, as a router sends them after the node's welcome.
 fn conversation(id: &str, left_ms: u64) -> Vec<u8> {
     let header = |name: &str, value: &str| protocol::Header {
         name: name.into(),
@@ -501,12 +504,12 @@
     stream
 }
 
-/// Guards: a job that a router left half said, by a reset, a close or a silence, never
+/// Guards: a request that a router left half said, by a reset, a close or a silence, never
 /// runs; a whole one runs once, however far off its deadline is said to be.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_that_its_router_left_half_said_never_runs() {
-    let (_folder, fleet) = common::up("half-said").await;
-    common::served(fleet.get("router-1").client_address(), KEY, "before").await;
+    let (_folder, fleet) = common::start_fleet("half-said").await;
+    common::wait_for_service(fleet.get("router-1").client_address(), KEY, "before").await;
     let node = fleet.get("directory-1").address();
     let mut draw = StdRng::seed_from_u64(9);
     let (mut silent, mut cut) = (Vec::new(), Vec::new());
@@ -552,7 +555,7 @@
             }
             match last {
                 Some(Frame::Rejected { not_run: true, .. }) if Instant::now() < until => {
-                    let events = common::events_of(&fleet, &id);
+                    let events = common::engine_events(&fleet, &id);
                     let has_run = events.iter().any(|event| event.starts_with("begun"));
                     assert!(!has_run, "{id} was said not to have run: {events:?}");
                 }
@@ -562,8 +565,8 @@
                 }
             }
         };
-        common::noted(&fleet, &id, "ended").await;
-        let events = common::events_of(&fleet, &id);
+        common::wait_for_engine_event(&fleet, &id, "ended").await;
+        let events = common::engine_events(&fleet, &id);
         let runs = events
             .iter()
             .filter(|event| event.starts_with("begun"))
@@ -571,7 +574,7 @@
         assert_eq!(runs, 1, "{id}: {events:?}");
     }
     for id in cut {
-        let events = common::events_of(&fleet, &id);
+        let events = common::engine_events(&fleet, &id);
         assert!(
             !events.iter().any(|event| event.starts_with("begun")),
             "{id}: {events:?}"
--- a/testbed/tests/large_log.rs
+++ b/testbed/tests/large_log.rs
@@ -15,7 +15,7 @@
 #[tokio::test(flavor = "multi_thread")]
 #[ignore = "a measurement, for whoever has the time"]
 async fn service_returns_with_a_years_ledger() {
-    let (_folder, mut fleet) = up("year").await;
+    let (_folder, mut fleet) = start_fleet("year").await;
     let tenants: Vec<String> = (0..300)
         .map(|n| format!(r#""tenant-{n:03}":{{"homes":["north"],"pace":5}}"#))
         .collect();
@@ -25,17 +25,17 @@
         .submit(json!({ "do": "revise", "whole": false, "book": book }))
         .await
         .expect("taken");
-    let desks = fleet.operator_addresses();
+    let operator_addresses = fleet.operator_addresses();
     let mut changes = tokio::task::JoinSet::new();
     for lane in 0..48usize {
-        let desk = desks[lane % desks.len()];
+        let operator_address = operator_addresses[lane % operator_addresses.len()];
         changes.spawn(async move {
             for n in 0..160usize {
                 let tenant = format!("tenant-{:03}", (lane * 160 + n) % 300);
                 let id = format!("year-{lane}-{n}");
                 let key = format!("key-of-the-year-{lane}-{n}");
                 let change = json!({ "do": "key", "tenant": tenant, "key": key, "id": id });
-                while operator_request(desk, "POST", "/submit", &change)
+                while operator_request(operator_address, "POST", "/submit", &change)
                     .await
                     .is_err()
                 {
@@ -47,8 +47,8 @@
     while let Some(done) = changes.join_next().await {
         done.expect("it is taken");
     }
-    let door = fleet.get("router-1").client_address();
-    served(door, "ana-key-0001", "before").await;
+    let router_address = fleet.get("router-1").client_address();
+    wait_for_service(router_address, "ana-key-0001", "before").await;
     let names: Vec<String> = fleet.processes.keys().cloned().collect();
     for round in 0..5 {
         names.iter().for_each(|name| fleet.kill(name));
@@ -64,13 +64,13 @@
         let mut tries = 0;
         loop {
             tries += 1;
-            let job = prompt(
+            let request = prompt(
                 &format!("back-{round}-{tries}"),
                 "ana-key-0001",
                 "once upon",
             );
             if let ClientOutcome::Complete { .. } =
-                send_request(door, &job, Duration::from_secs(10)).await
+                send_request(router_address, &request, Duration::from_secs(10)).await
             {
                 break;
             }
--- a/testbed/tests/orphans.rs
+++ b/testbed/tests/orphans.rs
@@ -6,7 +6,7 @@
 
 mod common;
 
-use common::{Folder, PATIENCE, SHAPE};
+use common::{Folder, DEPLOYMENT, PATIENCE};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::fs::File;
@@ -107,7 +107,7 @@
     let folder = Folder::new("orphans");
     std::fs::create_dir_all(&folder.0).expect("a folder");
     let small = folder.0.join("small.json");
-    std::fs::write(&small, SHAPE).expect("written");
+    std::fs::write(&small, DEPLOYMENT).expect("written");
     let small = small.display().to_string();
     let day = folder.0.join("day");
     let made = Command::new(program("workload").expect("it is built"))
--- a/testbed/tests/partitioned_leader.rs
+++ b/testbed/tests/partitioned_leader.rs
@@ -1,5 +1,5 @@
 //! A control node without its majority, as real processes: operators, routers and
-//! forwarded jobs on its side are served nothing old, and nothing is refused for
+//! forwarded requests on its side are served nothing old, and nothing is refused for
 //! good or confirmed by it alone. Everything waits on events.
 
 mod common;
@@ -17,9 +17,9 @@
 
 const ANA: &str = "ana-key-0001";
 
-/// One call to a node's desk, with whatever status.
-async fn call_desk(
-    desk: SocketAddr,
+/// One call to a node's operator API, with whatever status.
+async fn call_operator_api(
+    operator_address: SocketAddr,
     method: &str,
     path: &str,
     body: &OwnedValue,
@@ -31,7 +31,8 @@
     };
     let patience = Duration::from_secs(12);
     let (status, bytes) =
-        http_client::send_request(desk, method, path, &[], text.into(), patience).await?;
+        http_client::send_request(operator_address, method, path, &[], text.into(), patience)
+            .await?;
     let text = String::from_utf8_lossy(&bytes).into_owned();
     Ok((
         status,
@@ -39,14 +40,14 @@
     ))
 }
 
-async fn get(desk: SocketAddr, path: &str) -> (u16, OwnedValue) {
-    call_desk(desk, "GET", path, &OwnedValue::null())
+async fn get(operator_address: SocketAddr, path: &str) -> (u16, OwnedValue) {
+    call_operator_api(operator_address, "GET", path, &OwnedValue::null())
         .await
         .expect("it answers")
 }
 
-async fn submit(desk: SocketAddr, body: OwnedValue) -> (u16, OwnedValue) {
-    call_desk(desk, "POST", "/submit", &body)
+async fn submit(operator_address: SocketAddr, body: OwnedValue) -> (u16, OwnedValue) {
+    call_operator_api(operator_address, "POST", "/submit", &body)
         .await
         .expect("it answers")
 }
@@ -90,10 +91,10 @@
     found
 }
 
-async fn is_no_longer_recent(desk: SocketAddr) {
+async fn is_no_longer_recent(operator_address: SocketAddr) {
     wait_until(PATIENCE, "the end of its lease", async || {
         anyhow::ensure!(
-            !is_set(&get(desk, "/vitals").await.1, "recent"),
+            !is_set(&get(operator_address, "/vitals").await.1, "recent"),
             "it is recent"
         );
         Ok(())
@@ -104,17 +105,17 @@
 
 /// Operators on the side of a node without a majority: whatever they ask for is
 /// refused for now, with no old document, no refusal for good and no word.
-async fn serves_no_operator(desk: SocketAddr, mark: &str) {
+async fn serves_no_operator(operator_address: SocketAddr, mark: &str) {
     let order = |name: &str, order: OwnedValue| {
         let mut order = order;
         order
             .insert("id", format!("{mark}-{name}"))
             .expect("an object");
-        submit(desk, order)
+        submit(operator_address, order)
     };
     // All at once: at first the node may still believe that it leads.
     let (book, taken, back, unknown, based) = tokio::join!(
-        get(desk, "/book"),
+        get(operator_address, "/book"),
         order("taken", json!({ "do": "evacuate", "zone": "west-a" })),
         order("back", json!({ "do": "give-back", "zone": "south-a" })),
         // By what this node knows there is no such zone; the others know it.
@@ -129,24 +130,24 @@
     }
 }
 
-/// Guards: a leader that is cut off in either direction or both hands out no old
+/// Guards: a leader that is partitioned in either direction or both hands out no old
 /// document, refuses nothing for good by what it knew, and confirms nothing, also
 /// when it is restarted meanwhile; when it is back it holds what the majority
 /// agreed on.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_off_leader_serves_no_operator() {
-    let (_folder, mut fleet) = up_with_relays("cut-leader").await;
+    let (_folder, mut fleet) = start_fleet_with_relays("cut-leader").await;
     for (round, (outward, inward)) in [(true, true), (true, false), (false, true)]
         .into_iter()
         .enumerate()
     {
         let old = fleet.leader().await.expect("somebody leads");
-        let desk = fleet.get(&old).operator_address();
+        let operator_address = fleet.get(&old).operator_address();
         fleet
             .partition(std::slice::from_ref(&old), outward, inward)
             .expect("it is cut");
         // At once, while it may still believe that it leads.
-        serves_no_operator(desk, &format!("first-{round}")).await;
+        serves_no_operator(operator_address, &format!("first-{round}")).await;
 
         let leader = leader_but(&fleet, &old).await;
         let zone = format!("east-{round}");
@@ -156,12 +157,13 @@
         let (status, answer) = submit(fleet.get(&leader).operator_address(), order).await;
         assert_eq!(status, 200, "{answer}");
         let epoch = number(&answer, "epoch");
-        serves_no_operator(desk, &format!("second-{round}")).await;
+        serves_no_operator(operator_address, &format!("second-{round}")).await;
 
         fleet.kill(&old);
         fleet.start(&old).expect("it starts");
         wait_until(PATIENCE, "its desk", async || {
-            let (_, vitals) = call_desk(desk, "GET", "/vitals", &OwnedValue::null()).await?;
+            let (_, vitals) =
+                call_operator_api(operator_address, "GET", "/vitals", &OwnedValue::null()).await?;
             assert!(
                 !is_set(&vitals, "recent"),
                 "a new process has no lease: {vitals}"
@@ -170,11 +172,11 @@
         })
         .await
         .expect("its desk is back");
-        serves_no_operator(desk, &format!("third-{round}")).await;
+        serves_no_operator(operator_address, &format!("third-{round}")).await;
 
         fleet.network.as_ref().expect("it has relays").heal();
         wait_until(PATIENCE, "the document that the others hold", async || {
-            let (status, book) = get(desk, "/book").await;
+            let (status, book) = get(operator_address, "/book").await;
             anyhow::ensure!(status == 200, "{status}: {book}");
             assert!(
                 number(&book, "epoch") >= epoch,
@@ -187,8 +189,8 @@
         .expect("it is read back");
     }
     let mut books = Vec::new();
-    for desk in fleet.operator_addresses() {
-        let (status, book) = get(desk, "/book").await;
+    for operator_address in fleet.operator_addresses() {
+        let (status, book) = get(operator_address, "/book").await;
         assert_eq!(status, 200, "{book}");
         books.push(book.get("book").expect("the document").encode());
     }
@@ -200,15 +202,15 @@
 /// applied, so it is never a leader's own.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_takes_a_majority() {
-    let (_folder, fleet) = up("refusal").await;
+    let (_folder, fleet) = start_fleet("refusal").await;
     let unknown = |id: &str| json!({ "do": "evacuate", "zone": "nowhere", "id": id });
     let leader = fleet.leader().await.expect("somebody leads");
-    let desk = fleet.get(&leader).operator_address();
-    let before = number(&get(desk, "/status").await.1, "commit");
-    let (status, answer) = submit(desk, unknown("with-all")).await;
+    let operator_address = fleet.get(&leader).operator_address();
+    let before = number(&get(operator_address, "/status").await.1, "commit");
+    let (status, answer) = submit(operator_address, unknown("with-all")).await;
     assert_eq!(status, 422, "{answer}");
     wait_until(PATIENCE, "the entry that decides", async || {
-        let after = number(&get(desk, "/status").await.1, "commit");
+        let after = number(&get(operator_address, "/status").await.1, "commit");
         anyhow::ensure!(after > before, "{before}, {after}");
         Ok(())
     })
@@ -222,13 +224,13 @@
     for name in &followers {
         fleet.signal(name, Signal::SIGSTOP).expect("it freezes");
     }
-    let (status, answer) = submit(desk, unknown("alone")).await;
+    let (status, answer) = submit(operator_address, unknown("alone")).await;
     assert_eq!(status, 503, "{answer}");
     for name in &followers {
         fleet.signal(name, Signal::SIGCONT).expect("it goes on");
     }
     wait_until(PATIENCE, "a clear refusal", async || {
-        let (status, answer) = submit(desk, unknown("with-all-again")).await;
+        let (status, answer) = submit(operator_address, unknown("with-all-again")).await;
         anyhow::ensure!(status == 422, "{status}: {answer}");
         Ok(())
     })
@@ -236,15 +238,15 @@
     .expect("a majority refuses it");
 }
 
-/// Guards: a node that is cut off from the other control nodes alone resolves no
-/// key for routers and no forwarded job once its lease has ended, also not one
+/// Guards: a node that is partitioned from the other control nodes alone resolves no
+/// key for routers and no forwarded request once its lease has ended, also not one
 /// whose body was under way; routers beside it go elsewhere and serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_without_a_majority_resolves_nothing() {
-    let (_folder, fleet) = up_with_relays("resolve").await;
+    let (_folder, fleet) = start_fleet_with_relays("resolve").await;
     let source = SocketAddr::from(([127, 0, 0, 1], 0));
     let cut = fleet.leader().await.expect("somebody leads");
-    let (desk, address) = (
+    let (operator_address, address) = (
         fleet.get(&cut).operator_address(),
         fleet.get(&cut).address(),
     );
@@ -288,7 +290,7 @@
             (other.ip, fleet.get(&cut).ip),
         ]);
     }
-    is_no_longer_recent(desk).await;
+    is_no_longer_recent(operator_address).await;
 
     link::send(&mut job, &Frame::RequestBody(br#"{"prompt":"x"}"#.to_vec()))
         .await
@@ -332,7 +334,7 @@
         }
     }
     for (round, router) in fleet.of(ProcessKind::Router).iter().enumerate() {
-        served(router.client_address(), ANA, &format!("elsewhere-{round}")).await;
+        wait_for_service(router.client_address(), ANA, &format!("elsewhere-{round}")).await;
     }
 }
 
@@ -349,14 +351,14 @@
 /// meanwhile in its sockets does not name it again, here or at the other nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_wakes_names_no_router_that_is_gone() {
-    let (_folder, fleet) = up("wakes").await;
+    let (_folder, fleet) = start_fleet("wakes").await;
     names_no_router_that_is_gone(fleet, Silence::Frozen).await;
 }
 
 /// Guards: the same of heartbeats that a cut network held back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_was_cut_off_names_no_router_that_is_gone() {
-    let (_folder, fleet) = up_with_relays("late").await;
+    let (_folder, fleet) = start_fleet_with_relays("late").await;
     // Late is what was sent on connections that lease_grace the cut.
     fleet
         .network
@@ -368,7 +370,7 @@
 
 /// The control node of a router's session, by its address.
 async fn session_of(fleet: &Fleet, router: &str) -> anyhow::Result<String> {
-    let vitals = call_desk(
+    let vitals = call_operator_api(
         fleet.get(router).operator_address(),
         "GET",
         "/vitals",
@@ -429,7 +431,7 @@
     let leader = fleet.leader().await.expect("somebody leads");
     let leader = fleet.get(&leader).address().to_string();
     loop {
-        served(fleet.get(router).client_address(), ANA, "before").await;
+        wait_for_service(fleet.get(router).client_address(), ANA, "before").await;
         let address = session_of(fleet, router).await.expect("it has a session");
         if address != leader {
             return address;
@@ -465,20 +467,20 @@
     })
     .await
     .expect("the router goes elsewhere");
-    served(fleet.get(gone).client_address(), ANA, "elsewhere").await;
+    wait_for_service(fleet.get(gone).client_address(), ANA, "elsewhere").await;
     if silence == Silence::Frozen {
         beat_once(&fleet, gone, fleet.get(&node).address()).await;
     }
     fleet.kill(gone);
 
-    let desk = fleet.get(&node).operator_address();
+    let operator_address = fleet.get(&node).operator_address();
     let others: Vec<SocketAddr> = fleet
         .operator_addresses()
         .into_iter()
-        .filter(|other| *other != desk)
+        .filter(|other| *other != operator_address)
         .collect();
-    let names_it = async |desk: SocketAddr| {
-        let (_, status) = get(desk, "/status").await;
+    let names_it = async |operator_address: SocketAddr| {
+        let (_, status) = get(operator_address, "/status").await;
         let routers = status
             .get("routers")
             .and_then(|list| list.as_array())
@@ -493,8 +495,8 @@
             Silence::Frozen => &others[..],
             Silence::Cut => &fleet.operator_addresses()[..],
         };
-        for desk in running {
-            anyhow::ensure!(!names_it(*desk).await, "it is named");
+        for operator_address in running {
+            anyhow::ensure!(!names_it(*operator_address).await, "it is named");
         }
         Ok(())
     })
@@ -507,13 +509,13 @@
     }
     let mut looks = 0;
     wait_until(PATIENCE, "looks at all nodes", async || {
-        for desk in fleet.operator_addresses() {
+        for operator_address in fleet.operator_addresses() {
             assert!(
-                !names_it(desk).await,
-                "a router that is gone is named again at {desk}"
+                !names_it(operator_address).await,
+                "a router that is gone is named again at {operator_address}"
             );
         }
-        looks += usize::from(is_set(&get(desk, "/vitals").await.1, "recent"));
+        looks += usize::from(is_set(&get(operator_address, "/vitals").await.1, "recent"));
         anyhow::ensure!(looks > 20, "{looks}");
         Ok(())
     })
--- a/testbed/tests/partitions.rs
+++ b/testbed/tests/partitions.rs
@@ -13,11 +13,11 @@
 
 const BEN: &str = "ben-key-0002";
 
-async fn status(desk: SocketAddr) -> anyhow::Result<OwnedValue> {
-    Ok(operator_request(desk, "GET", "/status", &OwnedValue::null()).await?)
+async fn status(operator_address: SocketAddr) -> anyhow::Result<OwnedValue> {
+    Ok(operator_request(operator_address, "GET", "/status", &OwnedValue::null()).await?)
 }
 
-/// A leader elsewhere than at the one that is cut off.
+/// A leader elsewhere than at the one that is partitioned.
 async fn another_leader(fleet: &Fleet, cut: &str) -> String {
     let mut found = String::new();
     wait_until(PATIENCE, "another leader", async || {
@@ -43,9 +43,9 @@
 /// acknowledged while a node was away reaches it when it is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leader_is_cut_off_each_way_and_comes_back() {
-    let (_folder, fleet) = up_with_relays("cut").await;
-    let door = fleet.get("router-3").client_address();
-    served(door, BEN, "before").await;
+    let (_folder, fleet) = start_fleet_with_relays("cut").await;
+    let router_address = fleet.get("router-3").client_address();
+    wait_for_service(router_address, BEN, "before").await;
     for (round, (outward, inward)) in [(true, true), (true, false), (false, true)]
         .into_iter()
         .enumerate()
@@ -92,7 +92,7 @@
                 .and_then(|v| v.as_u64())
                 .expect("an epoch");
         }
-        served(door, BEN, &format!("cut-{round}")).await;
+        wait_for_service(router_address, BEN, &format!("cut-{round}")).await;
         fleet.network.as_ref().expect("it has relays").heal();
         wait_until(PATIENCE, "agreement", async || {
             let at = status(old).await?.get("epoch").and_then(|v| v.as_u64());
@@ -108,16 +108,16 @@
 /// engines that go dark are left out, and nothing runs twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn routers_and_engines_are_cut_off() {
-    let (_folder, fleet) = up_with_relays("dark").await;
-    let door = fleet.get("router-1").client_address();
-    served(door, BEN, "before").await;
+    let (_folder, fleet) = start_fleet_with_relays("dark").await;
+    let router_address = fleet.get("router-1").client_address();
+    wait_for_service(router_address, BEN, "before").await;
     fleet
         .partition(&["router-1".to_string()], true, true)
         .expect("it is cut");
-    is_refused(door, BEN, "cut", "no-lease").await;
-    served(fleet.get("router-3").client_address(), BEN, "elsewhere").await;
+    wait_for_rejection(router_address, BEN, "cut", "no-lease").await;
+    wait_for_service(fleet.get("router-3").client_address(), BEN, "elsewhere").await;
     fleet.network.as_ref().expect("it has relays").heal();
-    served(door, BEN, "again").await;
+    wait_for_service(router_address, BEN, "again").await;
 
     // The south's engine goes dark; the north is among ben's homes.
     fleet
@@ -126,8 +126,8 @@
     let mut round = 0;
     wait_until(PATIENCE, "the other home", async || {
         round += 1;
-        let job = prompt(&format!("d-{round}"), "ben-key-0002", "once upon a time");
-        match send_request(door, &job, Duration::from_secs(30)).await {
+        let request = prompt(&format!("d-{round}"), "ben-key-0002", "once upon a time");
+        match send_request(router_address, &request, Duration::from_secs(30)).await {
             ClientOutcome::Complete { engine, .. } if engine != "engine-3" => Ok(()),
             // Told when the engine is given up, and not held to its deadline.
             ClientOutcome::Rejected { code, .. } if code == "deadline" => panic!("held back"),
@@ -137,7 +137,7 @@
     .await
     .expect("it spills within its homes");
     for n in 1..=round {
-        let begun = events_of(&fleet, &format!("d-{n}"));
+        let begun = engine_events(&fleet, &format!("d-{n}"));
         assert!(
             begun
                 .iter()
--- a/testbed/tests/recorded_workload.rs
+++ b/testbed/tests/recorded_workload.rs
@@ -31,8 +31,8 @@
 /// Guards: every rule that the checker knows.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_short_day_breaks_no_rule() {
-    let (folder, mut fleet) = up("day").await;
-    let deployment = SHAPE
+    let (folder, mut fleet) = start_fleet("day").await;
+    let deployment = DEPLOYMENT
         .trim_end()
         .strip_suffix('}')
         .expect("an object")
--- a/testbed/tests/streams.rs
+++ b/testbed/tests/streams.rs
@@ -16,7 +16,7 @@
 const LINE: &str = "{\"running\":0,\"queue\":0,\"slots\":64,\"warm\":true,\"draining\":false}\n";
 const BODY: &str = "{\"piece\":0}\n{\"piece\":1}\n";
 
-/// What the engine says to a job: so many bytes of this, then it closes.
+/// What the engine says to a request: so many bytes of this, then it closes.
 type Words = Arc<Mutex<(String, usize)>>;
 
 async fn says(mut stream: TcpStream, words: Words) -> std::io::Result<()> {
@@ -57,7 +57,7 @@
 /// a length and in chunks; only what is whole looks whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_that_breaks_anywhere_looks_broken() {
-    let (_folder, fleet) = up("streams").await;
+    let (_folder, fleet) = start_fleet("streams").await;
     let (address, words) = engine().await;
     let mut epoch = 0;
     for change in [
@@ -82,16 +82,23 @@
         ),
         format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{chunks}0\r\n\r\n"),
     ];
-    let door = fleet.get("router-1").client_address();
+    let router_address = fleet.get("router-1").client_address();
     let headers = [("x-tenant-key", "ana-key-0001"), ("x-model", "writer")];
     let ask = async || {
         let body = br#"{"prompt":"x"}"#.to_vec();
-        transport::http_client::send_request(door, "POST", "/app/write", &headers, body, PATIENCE)
-            .await
+        transport::http_client::send_request(
+            router_address,
+            "POST",
+            "/app/write",
+            &headers,
+            body,
+            PATIENCE,
+        )
+        .await
     };
     for way in ["straight", "through a directory node"] {
         if way != "straight" {
-            // A key that is being moved is never fresh: each job is handed on.
+            // A key that is being moved is never fresh: each request is handed on.
             let change =
                 json!({ "do": "move", "tenant": "ana", "service": "writer", "cell": "north-1" });
             let epoch = fleet.submit(change).await.expect("taken");
@@ -126,7 +133,7 @@
                 }
             }
         }
-        // A caller that reads a little at a time gets all of a long answer, and
+        // A client that reads a little at a time gets all of a long answer, and
         // its end.
         let long = "0123456789abcde\n".repeat(1 << 17);
         let answer = format!(
@@ -134,7 +141,9 @@
             long.len()
         );
         *words.lock() = (answer.clone(), answer.len());
-        let mut stream = TcpStream::connect(door).await.expect("it listens");
+        let mut stream = TcpStream::connect(router_address)
+            .await
+            .expect("it listens");
         let job = "POST /app/write HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
                    x-tenant-key: ana-key-0001\r\nx-model: writer\r\ncontent-length: 14\r\n\r\n\
                    {\"prompt\":\"x\"}";
