--- a/checker/src/journals.rs
+++ b/checker/src/journals.rs
@@ -25,9 +25,9 @@
     /// A request is sent to an engine.
     pub const DISPATCHED: &str = "dispatched";
     /// A retry was granted.
-    pub const RETRIED: &str = "a further round";
+    pub const RETRIED: &str = "retrying the request";
     /// A node has a request's body in memory.
-    pub const BODY_RECEIVED: &str = "its body is here";
+    pub const BODY_RECEIVED: &str = "the request is received";
     /// Written by the testbed for a process's panic message.
     pub const PANICKED: &str = "panicked";
 }
--- a/checker/tests/checker.rs
+++ b/checker/tests/checker.rs
@@ -269,7 +269,7 @@
     let node = |at: u64, name: &str, rest: &str| {
         format!(r#"{{"at":{at},"name":"{name}","job":"j","what":{rest}}}"#) + "\n"
     };
-    let body = "\"its body is here\"";
+    let body = "\"the request is received\"";
     let sent = |epoch: u64| format!(r#""dispatched","epoch":{epoch}"#);
     let acknowledged = |at: u64, epoch: u64| {
         format!(r#"{{"at":{at},"acknowledged":{at},"do":"revise","epoch":{epoch}}}"#) + "\n"
@@ -324,7 +324,7 @@
         ),
         (
             "a round more",
-            node(S, "r1", "\"a further round\""),
+            node(S, "r1", "\"retrying the request\""),
             none(),
             vec![Rule::RetryBudget],
         ),
--- a/directory/src/forwarded_requests/serve.rs
+++ b/directory/src/forwarded_requests/serve.rs
@@ -52,7 +52,7 @@
     link::send(&mut writer, &Frame::Ready).await?;
     let head = receive_head(&mut reader).await?;
     control.metrics.increment("jobs-forwarded");
-    log::info!(job = head.id.as_str(); "its body is here");
+    log::info!(job = head.id.as_str(); "the request is received");
     let resolved = match resolve_in_time(&control, &head, &mut reader).await? {
         Ok(resolved) => resolved,
         Err(refusal) => return link::send(&mut writer, &refused(&refusal)).await,
--- a/dispatch/src/attempt.rs
+++ b/dispatch/src/attempt.rs
@@ -101,7 +101,7 @@
                 false => "retries-refused",
             });
             if is_granted {
-                log::info!(job = self.request.id.as_str(); "a further round");
+                log::info!(job = self.request.id.as_str(); "retrying the request");
             }
             is_granted
         };
--- a/router/src/cache_tiers.rs
+++ b/router/src/cache_tiers.rs
@@ -53,7 +53,7 @@
 }
 
 impl LookupPermit {
-    /// The key, as of [`residency::key`].
+    /// The key, as of [`residency::routing_key`].
     pub fn key(&self) -> &str {
         &self.key
     }
--- a/router/src/forwarding/conversation.rs
+++ b/router/src/forwarding/conversation.rs
@@ -172,7 +172,7 @@
                 apply_event(self.state, RequestEvent::ForwardNotRun);
                 self.router.metrics.increment("handed-back");
                 if declined.code == ENGINES_UNREACHABLE {
-                    log::info!(job = self.parts.id.as_str(); "a further round");
+                    log::info!(job = self.parts.id.as_str(); "retrying the request");
                 }
                 ForwardOutcome::Mapping(mapping.clone())
             }
--- a/router/src/ingress/identify.rs
+++ b/router/src/ingress/identify.rs
@@ -105,7 +105,7 @@
         body.check_length()?;
         let route = &view.program.routes[route_index];
         let listener = &view.program.ingresses[route.ingress];
-        log::info!(job = id; "its body is here");
+        log::info!(job = id; "the request is received");
         let mut state = RequestStateMachine::new(route.is_idempotent);
         if let Some(most) = route.max_attempts {
             state = state.with_max_attempts(most);
--- a/router/src/ingress/lookup.rs
+++ b/router/src/ingress/lookup.rs
@@ -134,7 +134,7 @@
                     && (router.dispatcher.retry_budget)(&routing_key.service) =>
             {
                 router.metrics.increment("retries");
-                log::info!(job = parts.id.as_str(); "a further round");
+                log::info!(job = parts.id.as_str(); "retrying the request");
             }
             ForwardOutcome::Refused(rejection) => return Err(rejection),
             ForwardOutcome::Unreachable => {}
