--- /dev/null
+++ b/checker/tests/checker/main.rs
@@ -0,0 +1,6 @@
+//! The checker finds what breaks a rule, and nothing else.
+
+mod evidence;
+mod limits;
+mod nodes;
+mod responses;
--- a/testbed/tests/commands.rs
+++ b/testbed/tests/commands.rs
@@ -44,7 +44,7 @@
     );
     let book = file(
         "book.json",
-        r#"{"cells":{"c":{"zone":"z"}},"rules":["router_address"]}"#,
+        r#"{"cells":{"c":{"zone":"z"}},"rules":["door"]}"#,
     );
     let rules = file("rules", "door a at \"/a/\" tenant bearer\nset fill much");
     let day = file("day", "{\"at\":1}\nnot json");
