--- a/testbed/tests/commands.rs
+++ b/testbed/tests/commands.rs
@@ -223,13 +223,19 @@
         ("router", vec!["--dor", "x"], 2, vec!["dor"]),
         (
             "directory",
-            vec!["--boot", &broken],
+            vec!["--boot", &odd],
+            2,
+            vec!["--boot: this option is called --config"],
+        ),
+        (
+            "directory",
+            vec!["--config", &broken],
             2,
             vec!["line 2, column"],
         ),
         (
             "directory",
-            vec!["--boot", &odd],
+            vec!["--config", &odd],
             2,
             vec![
                 "nmae: no such setting",
