--- a/directory/src/forwarded_requests/serve.rs
+++ b/directory/src/forwarded_requests/serve.rs
@@ -9,7 +9,7 @@
     RequestParts,
 };
 use http_body_util::BodyExt;
-use placement::{ExecutionOutcome, RequestEvent, RequestStateMachine};
+use placement::{ExecutionOutcome, RateLimit, RequestEvent, RequestStateMachine};
 use policy::Prompt;
 use protocol::{ForwardedRequest, Frame};
 use residency::Mapping;
@@ -103,7 +103,10 @@
     }
     let view = control.view();
     let limits = view.tenants.get(&mapping.tenant);
-    let limits = limits.map_or((0, 0), |limits| (limits.requests_per_s, limits.burst));
+    let limits = limits.map_or(RateLimit::default(), |limits| RateLimit {
+        requests_per_s: limits.requests_per_s,
+        burst: limits.burst,
+    });
     let admitted = control
         .quota
         .admit(&mapping.tenant, limits, 0, QUOTA_TIMEOUT);
--- a/directory/src/subscriptions/leases.rs
+++ b/directory/src/subscriptions/leases.rs
@@ -70,7 +70,7 @@
             let own_grants = grants_for(&own_demand, &grants);
             control
                 .quota
-                .apply_shares(number, asked_at_ms + LEASE_MS, &own_grants);
+                .apply_grants(number, asked_at_ms + LEASE_MS, &own_grants);
             for heartbeat in heartbeats {
                 let lease = Frame::Lease {
                     heartbeat: heartbeat.demand.heartbeat,
--- a/dispatch/src/quota.rs
+++ b/dispatch/src/quota.rs
@@ -1,10 +1,12 @@
-//! Tenants' paces at a process that admits jobs: the waiting for the leader's
-//! word around `placement`'s meters, or its taps, by which nobody waits.
+//! Admitting requests by their tenant's quota.
+//!
+//! Two ways: with a queue, a request waits for the leader's grant (`placement`'s
+//! [`QueueingRateLimiter`]); without one, it is admitted at once or not at all, by grants
+//! that were leased before it came ([`LeaseRateLimiter`]).
 
 use parking_lot::Mutex;
 use placement::{
-    AdmissionDecision, LeaseRateLimiter, QueueTicket, QueueingRateLimiter, QuotaTolerance,
-    RateLimit,
+    AdmissionDecision, LeaseRateLimiter, QueueTicket, QueueingRateLimiter, QuotaTolerance, RateLimit,
 };
 use protocol::{QuotaGrant, RouterDemand};
 use std::time::Duration;
@@ -12,139 +14,159 @@
 use transport::now;
 use transport::rejection::Rejection;
 
-/// Whose word a process admits by: asked for each job where it lies nowhere yet,
-/// or lying here before the job comes.
-enum Means {
+/// How often a queued request looks at its time, if no grant comes in.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+enum Limiter {
     Queueing(Mutex<QueueingRateLimiter>),
     Leased(Mutex<LeaseRateLimiter>),
 }
 
+/// The tenants' quotas at a process that admits requests.
 pub struct QuotaLimiter {
-    means: Means,
-    /// A job waits: speak to the leader at once.
+    limiter: Limiter,
+    /// Notified when a request waits: the leader should be asked at once.
     pub urgent: Notify,
-    told: Notify,
+    grants_changed: Notify,
 }
 
 impl Default for QuotaLimiter {
+    /// A limiter with a queue.
     fn default() -> QuotaLimiter {
-        let means = Means::Queueing(Mutex::new(QueueingRateLimiter::new(now(), rand::random())));
-        QuotaLimiter {
-            means,
-            urgent: Notify::new(),
-            told: Notify::new(),
-        }
+        let limiter = QueueingRateLimiter::new(now(), rand::random());
+        QuotaLimiter::new(Limiter::Queueing(Mutex::new(limiter)))
     }
 }
 
-/// A job in a tenant's queue, out of it however its waiting ends.
-struct Waiting<'q> {
-    meters: &'q Mutex<QueueingRateLimiter>,
-    tenant: &'q str,
-    ticket: Option<QueueTicket>,
-}
-
-impl Drop for Waiting<'_> {
-    fn drop(&mut self) {
-        if let Some(ticket) = self.ticket {
-            self.meters.lock().cancel(self.tenant, ticket);
-        }
+impl QuotaLimiter {
+    /// A limiter under which no request waits. The tolerance is the fleet's, the same at
+    /// every process.
+    pub fn without_queue(tolerance: QuotaTolerance) -> QuotaLimiter {
+        let limiter = LeaseRateLimiter::new(now(), rand::random(), tolerance);
+        QuotaLimiter::new(Limiter::Leased(Mutex::new(limiter)))
     }
-}
 
-impl QuotaLimiter {
-    /// One under which no job waits; the margin is the fleet's.
-    pub fn without_queue(margin: QuotaTolerance) -> QuotaLimiter {
-        let means = Means::Leased(Mutex::new(LeaseRateLimiter::new(
-            now(),
-            rand::random(),
-            margin,
-        )));
+    fn new(limiter: Limiter) -> QuotaLimiter {
         QuotaLimiter {
-            means,
+            limiter,
             urgent: Notify::new(),
-            told: Notify::new(),
+            grants_changed: Notify::new(),
         }
     }
 
-    pub fn lease_demands(&self, front: &str, number: u64) -> RouterDemand {
-        match &self.means {
-            Means::Queueing(meters) => meters.lock().demand(now(), front, number),
-            Means::Leased(taps) => taps.lock().demand(now(), front, number),
+    /// What this process asks of the leader for its tenants, for the heartbeat of this
+    /// number.
+    pub fn lease_demands(&self, router: &str, number: u64) -> RouterDemand {
+        match &self.limiter {
+            Limiter::Queueing(limiter) => limiter.lock().demand(now(), router, number),
+            Limiter::Leased(limiter) => limiter.lock().demand(now(), router, number),
         }
     }
 
-    pub fn apply_shares(&self, number: u64, until: u64, shares: &[QuotaGrant]) {
-        match &self.means {
-            Means::Queueing(meters) => meters.lock().apply_grants(now(), number, until, shares),
-            Means::Leased(taps) => taps.lock().apply_grants(now(), number, until, shares),
+    /// Takes in the leader's grants, which answer the heartbeat of this number and are
+    /// valid until `until_ms` of this process's clock.
+    pub fn apply_grants(&self, number: u64, until_ms: u64, grants: &[QuotaGrant]) {
+        match &self.limiter {
+            Limiter::Queueing(limiter) => {
+                limiter.lock().apply_grants(now(), number, until_ms, grants)
+            }
+            Limiter::Leased(limiter) => {
+                limiter.lock().apply_grants(now(), number, until_ms, grants)
+            }
         }
-        self.told.notify_waiters();
+        self.grants_changed.notify_waiters();
     }
 
+    /// Whether requests wait for a grant.
     pub fn has_waiters(&self) -> bool {
-        match &self.means {
-            Means::Queueing(meters) => meters.lock().has_queued_requests(),
-            Means::Leased(_) => false,
+        match &self.limiter {
+            Limiter::Queueing(limiter) => limiter.lock().has_queued_requests(),
+            Limiter::Leased(_) => false,
         }
     }
 
-    /// Lets a job in under its tenant's terms. With meters it waits for a place
-    /// that is likely to come up, and over a change of leader; where none can it is
-    /// refused at once. `routers` is how many are known.
+    /// Admits a request under its tenant's limit. With a queue it waits up to `patience` for a grant that is likely to
+    /// come, also over a change of leader. `routers` is how many are known.
+    ///
+    /// # Errors
+    /// `quota` (429) where the tenant is over its quota, `no-leader` (503) where no leader
+    /// grants anything. The request was not run.
     pub async fn admit(
         &self,
         tenant: &str,
-        (pace, burst): (u64, u64),
+        limit: RateLimit,
         routers: usize,
         patience: Duration,
     ) -> Result<(), Rejection> {
-        if pace == 0 {
+        if limit.requests_per_s == 0 {
             return Ok(());
         }
-        let past = || {
-            let text = format!("{tenant} is past its pace of {pace} jobs a second");
-            Rejection::not_run(429, "quota", text)
-        };
-        let limit = RateLimit {
-            requests_per_s: pace,
-            burst,
-        };
-        let meters = match &self.means {
-            Means::Queueing(meters) => meters,
-            Means::Leased(taps) => {
-                return match taps.lock().admit(now(), tenant, limit, routers) {
-                    true => Ok(()),
-                    false => Err(past()),
-                }
+        match &self.limiter {
+            Limiter::Queueing(limiter) => {
+                self.wait_for_grant(limiter, tenant, limit, patience).await
             }
-        };
-        let came = now();
-        let mut waiting = Waiting {
-            meters,
+            Limiter::Leased(limiter) => match limiter.lock().admit(now(), tenant, limit, routers) {
+                true => Ok(()),
+                false => Err(over_quota(tenant, limit)),
+            },
+        }
+    }
+
+    async fn wait_for_grant(
+        &self,
+        limiter: &Mutex<QueueingRateLimiter>,
+        tenant: &str,
+        limit: RateLimit,
+        patience: Duration,
+    ) -> Result<(), Rejection> {
+        let arrived_ms = now();
+        let mut queued = QueuedRequest {
+            limiter,
             tenant,
             ticket: None,
         };
         loop {
-            let told = self.told.notified();
-            tokio::pin!(told);
-            told.as_mut().enable();
-            let patience = patience.as_millis() as u64;
-            let place = meters
-                .lock()
-                .admit(now(), tenant, came, waiting.ticket, patience);
-            match place {
+            // Registered before the decision, so that no grant is missed between.
+            let grants_changed = self.grants_changed.notified();
+            tokio::pin!(grants_changed);
+            grants_changed.as_mut().enable();
+            let patience_ms = patience.as_millis() as u64;
+            let decision =
+                limiter
+                    .lock()
+                    .admit(now(), tenant, arrived_ms, queued.ticket, patience_ms);
+            match decision {
                 AdmissionDecision::Admitted => return Ok(()),
-                AdmissionDecision::Queued(ticket) => waiting.ticket = Some(ticket),
-                AdmissionDecision::OverQuota => return Err(past()),
+                AdmissionDecision::Queued(ticket) => queued.ticket = Some(ticket),
+                AdmissionDecision::OverQuota => return Err(over_quota(tenant, limit)),
                 AdmissionDecision::NoLeader => {
-                    let text = "no directory node speaks for this tenant's pace now";
+                    let text = "no directory node grants this tenant's quota now";
                     return Err(Rejection::not_run(503, "no-leader", text));
                 }
             }
             self.urgent.notify_one();
-            // Without a word the end of the wait is looked at every so often.
-            let _ = tokio::time::timeout(Duration::from_millis(50), told).await;
+            let _ = tokio::time::timeout(QUEUE_CHECK_INTERVAL, grants_changed).await;
         }
     }
 }
+
+/// A request in a tenant's queue; leaves it however its waiting ends.
+struct QueuedRequest<'q> {
+    limiter: &'q Mutex<QueueingRateLimiter>,
+    tenant: &'q str,
+    ticket: Option<QueueTicket>,
+}
+
+impl Drop for QueuedRequest<'_> {
+    fn drop(&mut self) {
+        if let Some(ticket) = self.ticket {
+            self.limiter.lock().cancel(self.tenant, ticket);
+        }
+    }
+}
+
+fn over_quota(tenant: &str, limit: RateLimit) -> Rejection {
+    let rate = limit.requests_per_s;
+    let text = format!("{tenant} is past its quota of {rate} requests a second");
+    Rejection::not_run(429, "quota", text)
+}
--- a/placement/src/quota/rate_limit.rs
+++ b/placement/src/quota/rate_limit.rs
@@ -1,7 +1,7 @@
 //! A tenant's quota.
 
 /// A tenant's quota over all routers: a rate, and a burst above it.
-#[derive(Clone, Copy, Debug, PartialEq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RateLimit {
     /// Requests per second; 0 stands for no quota.
     pub requests_per_s: u64,
--- a/router/src/ingress/admit.rs
+++ b/router/src/ingress/admit.rs
@@ -4,6 +4,7 @@
 use super::body::IncomingBody;
 use super::Ingress;
 use crate::rejection::RouterRejection;
+use placement::RateLimit;
 use residency::View;
 use std::sync::atomic::Ordering;
 use tokio::time::Instant;
@@ -66,17 +67,20 @@
     /// now. Both are built in `dispatch::quota`.
     pub(super) async fn admit_by_quota(&self, view: &View, tenant: &str) -> Result<(), Rejection> {
         let router = &self.router;
-        let rate_and_burst = view
+        let limit = view
             .tenants
             .get(tenant)
-            .map_or((0, 0), |limits| (limits.requests_per_s, limits.burst));
+            .map_or(RateLimit::default(), |limits| RateLimit {
+                requests_per_s: limits.requests_per_s,
+                burst: limits.burst,
+            });
         let routers = match view.router_count as usize {
             0 => 0,
             known => known.max(router.membership.read().router_count()),
         };
         let admitted = router
             .quota
-            .admit(tenant, rate_and_burst, routers, router.settings.quota_wait)
+            .admit(tenant, limit, routers, router.settings.quota_wait)
             .await;
         admitted.inspect_err(|_| router.metrics.increment("refused-quota"))
     }
--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -142,7 +142,7 @@
                         if let Some(until_ms) = state.replica.renew_lease(heartbeat, epoch) {
                             lease_renewed_ms = now();
                             router.lease.renew(state.replica.lease_expires_at());
-                            router.quota.apply_shares(heartbeat, until_ms, &grants);
+                            router.quota.apply_grants(heartbeat, until_ms, &grants);
                         }
                     }
                     Some(frame) => apply(router, &mut state.replica, frame)?,
--- a/telemetry/src/lib.rs
+++ b/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logging, metrics and the traffic of framed links.
+//! What a process tells of itself: logs, counters, and the traffic of its framed links.
 
 pub mod logging;
 pub mod metrics;
--- a/telemetry/src/metrics.rs
+++ b/telemetry/src/metrics.rs
@@ -4,23 +4,27 @@
 use simd_json::OwnedValue;
 use std::collections::BTreeMap;
 
-/// Invariant: a counter only rises.
+/// A process's counters. Invariant: a counter only rises.
 #[derive(Default)]
 pub struct Metrics(Mutex<BTreeMap<&'static str, u64>>);
 
 impl Metrics {
+    /// Adds to the counter of this name, which begins at 0.
     pub fn add(&self, name: &'static str, count: u64) {
         *self.0.lock().entry(name).or_default() += count;
     }
 
+    /// Adds 1 to the counter of this name.
     pub fn increment(&self, name: &'static str) {
         self.add(name, 1);
     }
 
+    /// The counter of this name; 0 if nothing was counted.
     pub fn get(&self, name: &str) -> u64 {
         self.0.lock().get(name).copied().unwrap_or(0)
     }
 
+    /// All counters, by name.
     pub fn to_json(&self) -> OwnedValue {
         let mut object = simd_json::owned::Object::default();
         for (name, count) in self.0.lock().iter() {
--- a/telemetry/src/traffic.rs
+++ b/telemetry/src/traffic.rs
@@ -1,62 +1,85 @@
-//! What this process's links carry: frames and bytes by the kind of frame.
+//! Frames and bytes that this process's framed links carried, by kind of frame.
 
 use simd_json::{json, OwnedValue};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One more than the highest number of a kind.
+/// One more than the highest number of a kind of frame.
 const KINDS: usize = 64;
+/// Bytes of the length that stands before each frame.
+const LENGTH_BYTES: usize = 4;
 
-/// Invariant: counts only rise.
-struct Way {
+/// Frames and bytes in one direction. Invariant: counts only rise.
+struct Direction {
     frames: [AtomicU64; KINDS],
     bytes: [AtomicU64; KINDS],
 }
 
-impl Way {
-    const fn new() -> Way {
-        Way {
+impl Direction {
+    const fn new() -> Direction {
+        Direction {
             frames: [const { AtomicU64::new(0) }; KINDS],
             bytes: [const { AtomicU64::new(0) }; KINDS],
         }
     }
 
     fn count(&self, kind: u8, bytes: usize) {
-        let at = usize::from(kind) % KINDS;
-        self.frames[at].fetch_add(1, Ordering::Relaxed);
-        self.bytes[at].fetch_add(bytes as u64, Ordering::Relaxed);
+        let index = usize::from(kind) % KINDS;
+        self.frames[index].fetch_add(1, Ordering::Relaxed);
+        self.bytes[index].fetch_add(bytes as u64, Ordering::Relaxed);
+    }
+
+    fn total(&self, kind: usize) -> Total {
+        Total {
+            frames: self.frames[kind].load(Ordering::Relaxed),
+            bytes: self.bytes[kind].load(Ordering::Relaxed),
+        }
     }
 }
 
-static SENT: Way = Way::new();
-static RECEIVED: Way = Way::new();
+#[derive(Clone, Copy, Default)]
+struct Total {
+    frames: u64,
+    bytes: u64,
+}
 
-/// A frame with its length before it, as it goes out.
+impl Total {
+    fn add(&mut self, other: Total) {
+        self.frames += other.frames;
+        self.bytes += other.bytes;
+    }
+}
+
+static SENT: Direction = Direction::new();
+static RECEIVED: Direction = Direction::new();
+
+/// Counts a frame that was sent: its length, then its body.
 pub fn count_sent(encoded: &[u8]) {
-    SENT.count(encoded.get(4).copied().unwrap_or(0), encoded.len());
+    let kind = encoded.get(LENGTH_BYTES).copied().unwrap_or(0);
+    SENT.count(kind, encoded.len());
 }
 
-/// A frame's body, as it came in.
+/// Counts a frame that was received, without its length.
 pub fn count_received(body: &[u8]) {
-    RECEIVED.count(body.first().copied().unwrap_or(0), body.len() + 4);
+    let kind = body.first().copied().unwrap_or(0);
+    RECEIVED.count(kind, body.len() + LENGTH_BYTES);
 }
 
-/// All that went over this process's links since its start.
+/// All that this process's links carried since its start, by the name of the kind. Kinds
+/// that did not occur are left out.
 pub fn to_json() -> OwnedValue {
-    let mut sums: BTreeMap<&'static str, [u64; 4]> = BTreeMap::new();
+    let mut totals: BTreeMap<&'static str, (Total, Total)> = BTreeMap::new();
     for kind in 0..KINDS {
-        let counts = [&SENT.frames, &SENT.bytes, &RECEIVED.frames, &RECEIVED.bytes];
-        let sum = sums.entry(protocol::kind_name(kind as u8)).or_default();
-        for (sum, count) in sum.iter_mut().zip(counts) {
-            *sum += count[kind].load(Ordering::Relaxed);
-        }
+        let (sent, received) = totals.entry(protocol::kind_name(kind as u8)).or_default();
+        sent.add(SENT.total(kind));
+        received.add(RECEIVED.total(kind));
     }
     let mut object = simd_json::owned::Object::default();
-    for (name, [frames_out, bytes_out, frames_in, bytes_in]) in sums {
-        if frames_out + frames_in > 0 {
+    for (name, (sent, received)) in totals {
+        if sent.frames + received.frames > 0 {
             let value = json!({
-                "frames_out": frames_out, "bytes_out": bytes_out,
-                "frames_in": frames_in, "bytes_in": bytes_in,
+                "frames_out": sent.frames, "bytes_out": sent.bytes,
+                "frames_in": received.frames, "bytes_in": received.bytes,
             });
             object.insert(name.to_string(), value);
         }
--- a/testbed/src/simulated_router/router.rs
+++ b/testbed/src/simulated_router/router.rs
@@ -143,7 +143,7 @@
                 if let Some(until) = self.replica.renew_lease(number, epoch) {
                     self.lease_valid = clock();
                     self.leases += 1;
-                    self.quota.apply_shares(number, until, &shares);
+                    self.quota.apply_grants(number, until, &shares);
                 }
             }
             Frame::Snapshot { epoch, events } => {
@@ -195,10 +195,10 @@
     for _ in 0..jobs {
         let at = (router.number * 37 + router.requests % tenants_per_router) % all;
         router.requests += 1;
-        let of = (terms[at].requests_per_s, terms[at].burst);
+        let limit = placement::RateLimit { requests_per_s: terms[at].requests_per_s, burst: terms[at].burst };
         let admitted = router
             .quota
-            .admit(&terms[at].tenant, of, routers, Duration::ZERO);
+            .admit(&terms[at].tenant, limit, routers, Duration::ZERO);
         // With a lease it is answered at once; whether it is admitted does not matter.
         drop(poll_once(admitted));
     }
