--- a/directory/src/forwarded_requests/body.rs
+++ b/directory/src/forwarded_requests/body.rs
@@ -40,7 +40,8 @@
                 if let Some(sender) = chunks.filter(|_| !is_ended) {
                     drop(sender.send(Err(anyhow!("the body broke off"))).await);
                 }
-                return frame.map(|_| ());
+                frame?;
+                return Ok(());
             }
         }
     }
--- a/directory/src/forwarded_requests/serve.rs
+++ b/directory/src/forwarded_requests/serve.rs
@@ -47,7 +47,8 @@
     let (mut reader, mut writer) = stream.into_split();
     if !control.driver.lease_valid() {
         let text = "this directory node is cut off from a majority".into();
-        return link::send(&mut writer, &Frame::Refused { text }).await;
+        link::send(&mut writer, &Frame::Refused { text }).await?;
+        return Ok(());
     }
     link::send(&mut writer, &Frame::Ready).await?;
     let head = receive_head(&mut reader).await?;
@@ -55,16 +56,16 @@
     log::info!(job = head.id.as_str(); "the request is received");
     let resolved = match resolve_in_time(&control, &head, &mut reader).await? {
         Ok(resolved) => resolved,
-        Err(refusal) => return link::send(&mut writer, &refused(&refusal)).await,
+        Err(refusal) => return Ok(link::send(&mut writer, &refused(&refusal)).await?),
     };
     if let Err(refusal) = admit(&control, &head, &resolved.mapping).await {
-        return link::send(&mut writer, &refused(&refusal)).await;
+        return Ok(link::send(&mut writer, &refused(&refusal)).await?);
     }
     link::send(&mut writer, &Frame::Mapping(resolved.mapping.clone())).await?;
     // Past its budget a node still answers with the mapping alone.
     let _permits = match acquire_permits(&control, resolved.body_start.len()) {
         Ok(permits) => permits,
-        Err(refusal) => return link::send(&mut writer, &refused(&refusal)).await,
+        Err(refusal) => return Ok(link::send(&mut writer, &refused(&refusal)).await?),
     };
     forward(&control, &head, resolved, &mut reader, &mut writer).await
 }
@@ -174,7 +175,7 @@
     };
     match response {
         Ok(response) => send_response(response, writer, upload).await,
-        Err(refusal) => link::send(writer, &refused(&refusal)).await,
+        Err(refusal) => Ok(link::send(writer, &refused(&refusal)).await?),
     }
 }
 
@@ -218,7 +219,7 @@
                         link::send(writer, &Frame::ResponseBody(data.to_vec())).await?;
                     }
                 }
-                None => return link::send(writer, &Frame::ResponseEnd).await,
+                None => return Ok(link::send(writer, &Frame::ResponseEnd).await?),
             },
             gone = &mut upload => {
                 gone?;
--- a/directory/src/operator_api/mod.rs
+++ b/directory/src/operator_api/mod.rs
@@ -31,7 +31,11 @@
             result.unwrap_or_else(|error| error.response())
         })
     });
-    http_server::serve(address, commands::BODY_LIMIT_BYTES, handler)
+    Ok(http_server::serve(
+        address,
+        commands::BODY_LIMIT_BYTES,
+        handler,
+    )?)
 }
 
 async fn answer(control: &ControlPlane, request: Request) -> Result<Response, ApiError> {
--- a/directory/src/subscriptions/session.rs
+++ b/directory/src/subscriptions/session.rs
@@ -44,7 +44,7 @@
     let (sender, queue) = mpsc::channel::<Frame>(QUEUE_LEN);
     if control.driver.cluster_status.borrow().cluster == 0 {
         let text = "this node belongs to no cluster yet".into();
-        return link::send(&mut writer, &Frame::Refused { text }).await;
+        return Ok(link::send(&mut writer, &Frame::Refused { text }).await?);
     }
     // The driver's thread holds the only lasting sender: when it drops it, the session
     // ends.
--- a/dispatch/src/headers.rs
+++ b/dispatch/src/headers.rs
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 /// A name or a value that HTTP does not allow.
-pub fn headers_from_frame(list: &[protocol::Header]) -> anyhow::Result<HeaderMap> {
+pub fn headers_from_frame(list: &[protocol::Header]) -> Result<HeaderMap, http::Error> {
     let mut headers = HeaderMap::new();
     for header in list {
         headers.append(
--- a/dispatch/src/quota.rs
+++ b/dispatch/src/quota.rs
@@ -6,7 +6,8 @@
 
 use parking_lot::Mutex;
 use placement::{
-    AdmissionDecision, LeaseRateLimiter, QueueTicket, QueueingRateLimiter, QuotaTolerance, RateLimit,
+    AdmissionDecision, LeaseRateLimiter, QueueTicket, QueueingRateLimiter, QuotaTolerance,
+    RateLimit,
 };
 use protocol::{QuotaGrant, RouterDemand};
 use std::time::Duration;
--- a/router/src/conversation_error.rs
+++ b/router/src/conversation_error.rs
@@ -2,14 +2,18 @@
 
 use placement::ReplicaViewError;
 use protocol::Frame;
+use transport::link::LinkError;
 
 /// Closes the connection on which it occurred. Whether the request or lookup may be
 /// repeated is decided by the module that opened the connection.
 #[derive(Debug, thiserror::Error)]
 pub enum ConversationError {
     /// Connecting, reading or writing failed.
-    #[error("{0:#}")]
-    Link(#[from] anyhow::Error),
+    #[error(transparent)]
+    Link(#[from] LinkError),
+    /// A frame carried headers that HTTP does not allow.
+    #[error(transparent)]
+    Headers(#[from] http::Error),
     /// The other process closed the connection in good order, too early.
     #[error("it closed the connection")]
     Closed,
--- a/router/src/forwarding/conversation.rs
+++ b/router/src/forwarding/conversation.rs
@@ -208,7 +208,7 @@
 
     /// The response's head; a task of its own relays the body.
     fn relay(self, status: u16, headers: &[Header]) -> Result<ForwardOutcome, ConversationError> {
-        let status = http::StatusCode::from_u16(status).map_err(anyhow::Error::from)?;
+        let status = http::StatusCode::from_u16(status).map_err(http::Error::from)?;
         let headers = headers_from_frame(headers)?;
         apply_event(self.state, RequestEvent::ResponseStarted);
         let (relay, body) = Relay::new(self.reader, self.writer, self.upload);
--- a/router/src/forwarding/relay.rs
+++ b/router/src/forwarding/relay.rs
@@ -37,7 +37,8 @@
                         }
                     }
                 }
-                link::send(&mut writer, &Frame::RequestEnd).await
+                link::send(&mut writer, &Frame::RequestEnd).await?;
+                anyhow::Ok(())
             };
             // A body that broke off closes the connection without its end frame.
             if sending.await.is_ok() {
--- a/router/src/operator_api.rs
+++ b/router/src/operator_api.rs
@@ -21,7 +21,7 @@
         let response = respond(&router, &request);
         Box::pin(async move { response })
     });
-    http_server::serve(address, BODY_CAP_BYTES, handler)
+    Ok(http_server::serve(address, BODY_CAP_BYTES, handler)?)
 }
 
 fn respond(router: &Router, request: &http_server::Request) -> http_server::Response {
--- a/router/src/startup.rs
+++ b/router/src/startup.rs
@@ -164,7 +164,9 @@
         .into_iter()
         .map(|server| {
             let handler = (server.handler)(Arc::clone(router));
-            http_server::serve(server.address, ADDITIONAL_SERVER_BODY_CAP_BYTES, handler)
+            let server =
+                http_server::serve(server.address, ADDITIONAL_SERVER_BODY_CAP_BYTES, handler)?;
+            Ok(server)
         })
         .collect()
 }
--- a/testbed/src/simulated_engine.rs
+++ b/testbed/src/simulated_engine.rs
@@ -100,7 +100,7 @@
             }
         })
     });
-    http_server::serve(address, MAX_BODY_BYTES, handler)
+    Ok(http_server::serve(address, MAX_BODY_BYTES, handler)?)
 }
 
 fn vitals(engine: &Arc<Engine>) -> Response {
--- a/testbed/src/simulated_router/router.rs
+++ b/testbed/src/simulated_router/router.rs
@@ -195,7 +195,10 @@
     for _ in 0..jobs {
         let at = (router.number * 37 + router.requests % tenants_per_router) % all;
         router.requests += 1;
-        let limit = placement::RateLimit { requests_per_s: terms[at].requests_per_s, burst: terms[at].burst };
+        let limit = placement::RateLimit {
+            requests_per_s: terms[at].requests_per_s,
+            burst: terms[at].burst,
+        };
         let admitted = router
             .quota
             .admit(&terms[at].tenant, limit, routers, Duration::ZERO);
--- a/testbed/tests/forwarding.rs
+++ b/testbed/tests/forwarding.rs
@@ -257,7 +257,7 @@
         {
             return Ok(());
         }
-        link::send(&mut stream, &Frame::ResponseEnd).await
+        Ok(link::send(&mut stream, &Frame::ResponseEnd).await?)
     }
 }
 
--- /dev/null
+++ b/transport/src/http_listener/mod.rs
@@ -0,0 +1,191 @@
+//! The listener for clients: HTTP/1.1 by hyper itself, since every request of every client
+//! comes through it. What a client may send, and how long it may take, is bounded by limits
+//! that are read anew for each connection.
+
+mod connection;
+
+use crate::http_server::{Handler, Request, Response};
+use crate::now;
+use connection::{ConnectionState, IdleOnDrop, ObservedBody, ObservedStream, Phase};
+use dropshot::Body;
+use hyper::body::Incoming;
+use hyper_util::rt::TokioIo;
+use parking_lot::Mutex;
+use residency::RequestLimits;
+use std::collections::HashMap;
+use std::convert::Infallible;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Notify;
+
+/// How often connections are checked for their time limits.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How long to wait after a failed accept, for instance for want of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long a connection that is to end may take for it.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
+/// hyper takes no smaller buffer for a head.
+const MIN_HEAD_BYTES: usize = 8 << 10;
+
+/// A listener for clients.
+pub struct HttpListener {
+    connections: Mutex<HashMap<u64, Arc<ConnectionState>>>,
+    next_connection: AtomicU64,
+    is_draining: AtomicBool,
+    shut_down: Notify,
+    limits: Box<dyn Fn() -> RequestLimits + Send + Sync>,
+}
+
+/// Accepts connections from when `opened` is ready until the listener is shut down. When a
+/// client disconnects, the handler's work is dropped where it stands.
+pub fn serve(
+    listener: TcpListener,
+    limits: Box<dyn Fn() -> RequestLimits + Send + Sync>,
+    handler: Handler,
+    opened: impl Future<Output = ()> + Send + 'static,
+) -> Arc<HttpListener> {
+    let http_listener = Arc::new(HttpListener {
+        connections: Mutex::default(),
+        next_connection: AtomicU64::new(0),
+        is_draining: AtomicBool::new(false),
+        shut_down: Notify::new(),
+        limits,
+    });
+    let accepting = Arc::clone(&http_listener);
+    tokio::spawn(async move {
+        opened.await;
+        accepting.accept(listener, handler).await;
+    });
+    tokio::spawn(Arc::clone(&http_listener).end_overdue_connections());
+    http_listener
+}
+
+impl HttpListener {
+    /// From now on responses say that their connection closes.
+    pub fn start_draining(&self) {
+        self.is_draining.store(true, Ordering::Relaxed);
+    }
+
+    /// Accepts no more connections, and ends the idle ones.
+    pub fn shut_down(&self) {
+        self.start_draining();
+        self.shut_down.notify_one();
+        self.connections
+            .lock()
+            .values()
+            .filter(|state| state.is_in(Phase::Idle))
+            .for_each(|state| state.end.notify_one());
+    }
+
+    async fn accept(self: Arc<HttpListener>, listener: TcpListener, handler: Handler) {
+        loop {
+            let accepted = tokio::select! {
+                accepted = listener.accept() => accepted,
+                () = self.shut_down.notified() => return,
+            };
+            match accepted {
+                Ok((stream, from)) => {
+                    let (listener, handler) = (Arc::clone(&self), Arc::clone(&handler));
+                    tokio::spawn(async move { listener.serve_client(stream, from, handler).await });
+                }
+                Err(error) => {
+                    log::warn!("accepting a client's connection failed: {error}");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+                }
+            }
+        }
+    }
+
+    async fn serve_client(
+        self: Arc<HttpListener>,
+        stream: TcpStream,
+        from: SocketAddr,
+        handler: Handler,
+    ) {
+        drop(stream.set_nodelay(true));
+        let state = Arc::new(ConnectionState::default());
+        state.enter(Phase::Idle);
+        let number = self.next_connection.fetch_add(1, Ordering::Relaxed);
+        self.connections.lock().insert(number, Arc::clone(&state));
+        if let Err(error) = self.serve_connection(stream, &state, handler).await {
+            log::debug!(from = from.to_string(); "a client's connection ended: {error}");
+        }
+        self.connections.lock().remove(&number);
+    }
+
+    async fn serve_connection(
+        self: &Arc<HttpListener>,
+        stream: TcpStream,
+        state: &Arc<ConnectionState>,
+        handler: Handler,
+    ) -> hyper::Result<()> {
+        let service = {
+            let (listener, state) = (Arc::clone(self), Arc::clone(state));
+            hyper::service::service_fn(move |request: hyper::Request<Incoming>| {
+                state.enter(Phase::Handling);
+                let idle_on_drop = IdleOnDrop(Arc::clone(&state));
+                let responding = handler(request.map(Body::wrap) as Request);
+                let listener = Arc::clone(&listener);
+                async move {
+                    let response = listener.close_if_draining(responding.await);
+                    Ok::<_, Infallible>(response.map(|body| ObservedBody {
+                        body,
+                        _idle_on_drop: idle_on_drop,
+                    }))
+                }
+            })
+        };
+        let max_head_bytes = usize::try_from((self.limits)().max_head_bytes)
+            .unwrap_or(usize::MAX)
+            .max(MIN_HEAD_BYTES);
+        let stream = TokioIo::new(ObservedStream {
+            stream,
+            state: Arc::clone(state),
+        });
+        let connection = hyper::server::conn::http1::Builder::new()
+            .max_buf_size(max_head_bytes)
+            .serve_connection(stream, service);
+        let mut connection = pin!(connection);
+        tokio::select! {
+            ended = connection.as_mut() => return ended,
+            () = state.end.notified() => {}
+        }
+        connection.as_mut().graceful_shutdown();
+        let closed = tokio::time::timeout(CLOSE_TIMEOUT, connection).await;
+        closed.unwrap_or(Ok(()))
+    }
+
+    /// While the listener is draining, a response says that its connection closes.
+    fn close_if_draining(&self, mut response: Response) -> Response {
+        if self.is_draining.load(Ordering::Relaxed) {
+            let close = http::HeaderValue::from_static("close");
+            response.headers_mut().insert("connection", close);
+        }
+        response
+    }
+
+    /// Ends connections that take too long over a head, or are idle for too long.
+    async fn end_overdue_connections(self: Arc<HttpListener>) {
+        loop {
+            tokio::time::sleep(TIMEOUT_CHECK_INTERVAL).await;
+            let (limits, now_ms) = ((self.limits)(), now());
+            for state in self.connections.lock().values() {
+                let limit_ms = if state.is_in(Phase::Idle) {
+                    limits.idle_timeout_ms
+                } else if state.is_in(Phase::ReadingHead) {
+                    limits.head_timeout_ms
+                } else {
+                    continue;
+                };
+                if now_ms > state.since_ms() + limit_ms {
+                    state.end.notify_one();
+                }
+            }
+        }
+    }
+}
--- a/transport/src/link.rs
+++ b/transport/src/link.rs
@@ -1,23 +1,65 @@
-//! Framed TCP links between rushport's own processes.
+//! Framed TCP links between own processes.
 
-use anyhow::{anyhow, bail, Context};
 use protocol::codec::{decode_length, LENGTH_BYTES};
 use protocol::{ConnectionKind, Frame, FrameError};
+use std::future::Future;
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use telemetry::traffic;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// How long connecting may take, and how long a first frame.
+/// How long a step of setting up a connection may take.
 pub const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a connection may take to come up. Invariant: longer than a way there
-/// and back between any two regions; a machine without power says nothing at all.
+/// How long an accepted connection may take to send its hello.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// How long a TCP connection may take to come up. Invariant: longer than a round trip
+/// between any two regions; a machine without power doesn't even refuse.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(450);
+/// How long to wait after a failed accept, for instance for want of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// What is reserved at once for a frame, whatever length it states.
+const MAX_RESERVED_BYTES: usize = 1 << 16;
 
-/// Dials out from `source`'s address, so that a cut between two machines is
-/// a cut in both directions.
-pub async fn connect(source: SocketAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
+/// What ended a framed link. The connection is of no use after it; whether a request on it
+/// had an effect is for its conversation to say.
+#[derive(Debug, thiserror::Error)]
+pub enum LinkError {
+    /// The other process can't be reached.
+    #[error("dialling {to}: {cause}")]
+    Connect {
+        /// Its address.
+        to: SocketAddr,
+        /// What the system says.
+        cause: io::Error,
+    },
+    /// The connection failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The length of a frame is not allowed, or its end is missing.
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    /// A frame's content can't be read.
+    #[error("an unreadable frame: {0}")]
+    Unreadable(FrameError),
+    /// An accepted connection sent nothing.
+    #[error("no hello came within {HELLO_TIMEOUT:?}")]
+    NoHello,
+    /// An accepted connection began with another frame.
+    #[error("the first frame is no hello")]
+    OtherFirstFrame,
+    /// An accepted connection was closed before it sent anything.
+    #[error("closed before a hello")]
+    ClosedBeforeHello,
+}
+
+/// Connects from `source`'s address, so that a partition between two machines is one in
+/// both directions.
+///
+/// # Errors
+/// What the system says, or `TimedOut` after 450 ms.
+pub async fn connect(source: SocketAddr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = match to.is_ipv4() {
         true => TcpSocket::new_v4()?,
         false => TcpSocket::new_v6()?,
@@ -27,21 +69,24 @@
     }
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, socket.connect(to))
         .await
-        .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
+        .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Dials and says hello.
+/// Connects and says hello, as the process of this name.
+///
+/// # Errors
+/// [`LinkError::Connect`] and [`LinkError::Io`].
 pub async fn dial(
     source: SocketAddr,
     to: SocketAddr,
     kind: ConnectionKind,
     name: &str,
-) -> anyhow::Result<TcpStream> {
+) -> Result<TcpStream, LinkError> {
     let mut stream = connect(source, to)
         .await
-        .with_context(|| format!("dialling {to}"))?;
+        .map_err(|cause| LinkError::Connect { to, cause })?;
     let hello = Frame::Hello {
         version: protocol::VERSION,
         kind,
@@ -51,7 +96,11 @@
     Ok(stream)
 }
 
-pub async fn send(to: &mut (impl AsyncWrite + Unpin), frame: &Frame) -> anyhow::Result<()> {
+/// Sends one frame.
+///
+/// # Errors
+/// [`LinkError::Io`]; a part of the frame may have been sent.
+pub async fn send(to: &mut (impl AsyncWrite + Unpin), frame: &Frame) -> Result<(), LinkError> {
     let bytes = protocol::encode(frame);
     to.write_all(&bytes).await?;
     traffic::count_sent(&bytes);
@@ -61,71 +110,73 @@
 /// Reads one frame. `None`: the other side closed between frames.
 ///
 /// # Errors
-/// A [`FrameError`] where the bytes are no frame, or an I/O error. The connection is of
-/// no use after either.
+/// [`LinkError::Frame`] and [`LinkError::Unreadable`] where the bytes are no frame, and
+/// [`LinkError::Io`].
 pub async fn receive(
     from: &mut (impl AsyncRead + Unpin),
     max_bytes: usize,
-) -> anyhow::Result<Option<Frame>> {
+) -> Result<Option<Frame>, LinkError> {
     let mut length = [0; LENGTH_BYTES];
     if let Err(error) = from.read_exact(&mut length).await {
         return match error.kind() {
-            std::io::ErrorKind::UnexpectedEof => Ok(None),
+            io::ErrorKind::UnexpectedEof => Ok(None),
             _ => Err(error.into()),
         };
     }
     let expected_bytes = decode_length(length, max_bytes)?;
-    let mut bytes = Vec::with_capacity(expected_bytes.min(1 << 16));
+    let mut bytes = Vec::with_capacity(expected_bytes.min(MAX_RESERVED_BYTES));
     let seen_bytes = from
         .take(expected_bytes as u64)
         .read_to_end(&mut bytes)
         .await?;
     if seen_bytes < expected_bytes {
-        bail!(FrameError::Truncated {
+        return Err(LinkError::Frame(FrameError::Truncated {
             expected_bytes,
             seen_bytes,
-        });
+        }));
     }
     traffic::count_received(&bytes);
-    let frame = protocol::decode(&bytes).context("an unreadable frame")?;
-    Ok(Some(frame))
+    protocol::decode(&bytes)
+        .map(Some)
+        .map_err(LinkError::Unreadable)
 }
 
 /// Accepts connections for good, each served by a task of its own.
 pub async fn accept<F, W>(listener: TcpListener, serve: F)
 where
     F: Fn(TcpStream) -> W,
-    W: std::future::Future<Output = anyhow::Result<()>> + Send + 'static,
+    W: Future<Output = anyhow::Result<()>> + Send + 'static,
 {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
-                let work = serve(stream);
+                let serving = serve(stream);
                 tokio::spawn(async move {
-                    if let Err(error) = work.await {
-                        log::info!("a connection from {from} was closed: {error:#}");
+                    if let Err(error) = serving.await {
+                        log::info!(from = from.to_string(); "the connection was closed: {error:#}");
                     }
                 });
             }
             Err(error) => {
-                log::warn!("accepting failed: {error}");
-                tokio::time::sleep(Duration::from_millis(100)).await;
+                log::warn!("accepting a connection failed: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Reads the hello of an accepted connection. Another version of the protocol is
-/// refused with a text, and returned as [`FrameError::OtherVersion`].
-pub async fn accept_handshake(stream: &mut TcpStream) -> anyhow::Result<(ConnectionKind, String)> {
+/// Reads the hello of an accepted connection: its kind, and the name of the process.
+/// Another version of the protocol is refused with a text.
+///
+/// # Errors
+/// What ended the connection; for another version [`FrameError::OtherVersion`].
+pub async fn accept_handshake(
+    stream: &mut TcpStream,
+) -> Result<(ConnectionKind, String), LinkError> {
     stream.set_nodelay(true)?;
-    let frame = tokio::time::timeout(
-        HANDSHAKE_TIMEOUT * 5,
-        receive(stream, protocol::MAX_HELLO_BYTES),
-    )
-    .await
-    .map_err(|_| anyhow!("no hello came"))??;
-    match frame {
+    let first = receive(stream, protocol::MAX_HELLO_BYTES);
+    let first = tokio::time::timeout(HELLO_TIMEOUT, first).await;
+    match first.map_err(|_| LinkError::NoHello)?? {
         Some(Frame::Hello {
             version,
             kind,
@@ -138,7 +189,7 @@
             }
             Ok((kind, name))
         }
-        Some(_) => Err(anyhow!("the first frame is no hello")),
-        None => Err(anyhow!("closed before a hello")),
+        Some(_) => Err(LinkError::OtherFirstFrame),
+        None => Err(LinkError::ClosedBeforeHello),
     }
 }
