--- a/checker/src/deployment.rs
+++ b/checker/src/deployment.rs
@@ -17,7 +17,7 @@
     /// Zone to region.
     pub zone_regions: BTreeMap<String, String>,
     /// Tenant to its home regions. One that is missing may use any.
-    pub home_regions: BTreeMap<String, BTreeSet<String>>,
+    pub homes: BTreeMap<String, BTreeSet<String>>,
     /// Tenant to its quota. One that is missing has none.
     pub quotas: BTreeMap<String, Quota>,
 }
@@ -71,7 +71,7 @@
         topology: &Topology,
         processes: impl Iterator<Item = Process<'a>>,
     ) -> Deployment {
-        let home_regions = topology
+        let homes = topology
             .tenants
             .iter()
             .filter(|(_, tenant)| !tenant.homes.is_empty())
@@ -89,7 +89,7 @@
             });
         let mut deployment = Deployment {
             zone_regions: topology.zones.clone(),
-            home_regions: home_regions.collect(),
+            homes: homes.collect(),
             quotas: quotas.collect(),
             ..Deployment::default()
         };
--- a/checker/src/timeline.rs
+++ b/checker/src/timeline.rs
@@ -138,7 +138,7 @@
     operators: &[OwnedValue],
 ) -> BTreeMap<String, HomeHistory> {
     let mut histories: BTreeMap<String, HomeHistory> = BTreeMap::new();
-    for (tenant, regions) in &deployment.home_regions {
+    for (tenant, regions) in &deployment.homes {
         let first = HomeChange {
             requested_us: 0,
             acknowledged_us: 0,
--- a/checker/tests/checker/evidence.rs
+++ b/checker/tests/checker/evidence.rs
@@ -31,7 +31,7 @@
         engine_slots: [("e1".to_string(), slots), ("e2".to_string(), slots)].into(),
         node_regions: map(&[("r1", "north"), ("r2", "south"), ("d1", "south")]),
         zone_regions: map(&[("north-a", "north"), ("south-a", "south")]),
-        home_regions: [("ana".to_string(), ["north".to_string()].into())].into(),
+        homes: [("ana".to_string(), ["north".to_string()].into())].into(),
         quotas: [(
             "pia".to_string(),
             Quota {
--- a/directory/src/forwarded_requests/serve.rs
+++ b/directory/src/forwarded_requests/serve.rs
@@ -195,7 +195,7 @@
         deadline_ms: now().saturating_add(head.remaining_ms),
         prompt: Prompt::default(),
         urgency: None,
-        latency_target_ms: 0,
+        latency_slo_ms: 0,
     })
 }
 
--- a/dispatch/src/attempt.rs
+++ b/dispatch/src/attempt.rs
@@ -302,13 +302,13 @@
     /// for another one; `None` where it may not.
     fn abandon_after(&self, slot: &EngineSlot) -> Option<Duration> {
         let fraction = self.dispatcher.options.abandon_after_fraction;
-        let target_ms = self.request.latency_target_ms;
+        let slo_ms = self.request.latency_slo_ms;
         let may_abandon = self.state.is_idempotent()
             && self.state.has_attempts_left()
             && self.body.is_intact()
             && fraction > 0.0
-            && target_ms > 0;
-        let wait_ms = slot.expected_first_event_ms() + fraction * target_ms as f64;
+            && slo_ms > 0;
+        let wait_ms = slot.expected_first_event_ms() + fraction * slo_ms as f64;
         may_abandon.then(|| Duration::from_millis(wait_ms as u64))
     }
 
--- a/dispatch/src/request.rs
+++ b/dispatch/src/request.rs
@@ -24,7 +24,7 @@
     /// The priority at an engine's queue; `None` says nothing of it.
     pub urgency: Option<u8>,
     /// The time within which the response should begin; 0 stands for no target.
-    pub latency_target_ms: u64,
+    pub latency_slo_ms: u64,
 }
 
 /// Applies an event to a request's state.
--- a/policy/src/parser/route.rs
+++ b/policy/src/parser/route.rs
@@ -81,10 +81,10 @@
         prompt_prefix: None,
         prompt_parts: None,
         prompt_size: None,
-        home_regions: Vec::new(),
+        homes: Vec::new(),
         urgency: None,
         max_attempts: None,
-        latency_target_ms: None,
+        latency_slo_ms: None,
         is_public: false,
         is_resumable: false,
         is_streaming: false,
@@ -162,11 +162,11 @@
         "homes" => {
             let homes = statement.quoted("regions with commas between")?;
             let region = |home: &str| home.trim().to_string();
-            route.home_regions = homes.split(',').map(region).collect();
+            route.homes = homes.split(',').map(region).collect();
         }
         "urgency" => route.urgency = Some(statement.count("an urgency", MAX_URGENCY)? as u8 - 1),
         "rounds" => route.max_attempts = Some(statement.count("a count", MAX_ATTEMPTS)? as u32),
-        "aim" => route.latency_target_ms = Some(statement.duration_ms()?),
+        "aim" => route.latency_slo_ms = Some(statement.duration_ms()?),
         "public" => route.is_public = true,
         "resume" => route.is_resumable = true,
         "stream" => route.is_streaming = true,
--- a/policy/src/program.rs
+++ b/policy/src/program.rs
@@ -57,13 +57,13 @@
     /// Where a request states the tokens of its prompt and the most output tokens.
     pub prompt_size: Option<Source>,
     /// The regions where it may be served; empty stands for any.
-    pub home_regions: Vec<String>,
+    pub homes: Vec<String>,
     /// Which requests are admitted first when engines are full; 0 goes first.
     pub urgency: Option<u8>,
     /// The most engines that one request may be sent to.
     pub max_attempts: Option<u32>,
     /// The time in which the response is to begin.
-    pub latency_target_ms: Option<u64>,
+    pub latency_slo_ms: Option<u64>,
     /// It needs no tenant key.
     pub is_public: bool,
     /// Its streams may be resumed at another engine.
--- a/residency/src/limits.rs
+++ b/residency/src/limits.rs
@@ -13,7 +13,7 @@
     /// The most bytes of a request's head.
     pub max_head_bytes: u64,
     /// The most bytes of a request's body.
-    pub max_body_bytes: u64,
+    pub body_limit_bytes: u64,
     /// How long a client may take to send a request's head.
     pub head_timeout_ms: u64,
     /// How long a connection may lie idle between two requests.
@@ -24,7 +24,7 @@
     fn default() -> RequestLimits {
         RequestLimits {
             max_head_bytes: 64 << 10,
-            max_body_bytes: 1 << 30,
+            body_limit_bytes: 1 << 30,
             head_timeout_ms: 10_000,
             idle_timeout_ms: 60_000,
         }
--- a/residency/src/topology/fields.rs
+++ b/residency/src/topology/fields.rs
@@ -38,7 +38,7 @@
 
 /// Of the limits: [`crate::RequestLimits::max_head_bytes`].
 pub(super) const HEAD: &str = "head";
-/// Of the limits: [`crate::RequestLimits::max_body_bytes`].
+/// Of the limits: [`crate::RequestLimits::body_limit_bytes`].
 pub(super) const BODY: &str = "body";
 /// Of the limits: [`crate::RequestLimits::head_timeout_ms`], as a duration.
 pub(super) const HEAD_WAIT: &str = "head_wait";
--- a/residency/src/topology/parse.rs
+++ b/residency/src/topology/parse.rs
@@ -15,7 +15,7 @@
 const MAX_HEAD_BYTES: u64 = 1 << 20;
 
 /// The most that the limit on a request's body may be.
-const MAX_BODY_BYTES: u64 = 1 << 30;
+const BODY_LIMIT_BYTES: u64 = 1 << 30;
 
 impl Topology {
     /// Reads and checks a topology file. Either all of it holds, or every error is
@@ -185,7 +185,7 @@
                 };
                 reader.error(fields::RULES, kind);
             }
-            let mut homes = route.home_regions.iter();
+            let mut homes = route.homes.iter();
             if let Some(region) = homes.find(|region| !regions.contains(region)) {
                 let kind = TopologyErrorKind::RouteWithUnknownRegion {
                     route: route.name.clone(),
@@ -226,9 +226,9 @@
         max_head_bytes: reader
             .count_between(path, limits, fields::HEAD, 1, MAX_HEAD_BYTES)
             .unwrap_or(default.max_head_bytes),
-        max_body_bytes: reader
-            .count_between(path, limits, fields::BODY, 1, MAX_BODY_BYTES)
-            .unwrap_or(default.max_body_bytes),
+        body_limit_bytes: reader
+            .count_between(path, limits, fields::BODY, 1, BODY_LIMIT_BYTES)
+            .unwrap_or(default.body_limit_bytes),
         head_timeout_ms: reader
             .duration_ms(path, limits, fields::HEAD_WAIT)
             .unwrap_or(default.head_timeout_ms),
--- a/residency/tests/state/lookup.rs
+++ b/residency/tests/state/lookup.rs
@@ -5,7 +5,7 @@
 
 /// Guards: a lookup never goes outside the home regions.
 #[test]
-fn a_lookup_keeps_to_home_regions() {
+fn a_lookup_keeps_to_the_homes() {
     let mut harness = Harness::with_three_regions();
     assert_eq!(harness.cells("ben", "north"), ["s-1"]);
     let ana = harness.cells("ana", "west");
--- a/router/src/ingress/admit.rs
+++ b/router/src/ingress/admit.rs
@@ -16,7 +16,7 @@
         self.router
             .settings
             .body_limit_bytes
-            .min(usize::try_from(view.limits.max_body_bytes).unwrap_or(usize::MAX))
+            .min(usize::try_from(view.limits.body_limit_bytes).unwrap_or(usize::MAX))
     }
 
     /// Takes the request if this router has a lease, accepts requests, and has
--- a/router/src/ingress/identify.rs
+++ b/router/src/ingress/identify.rs
@@ -191,7 +191,7 @@
                 .map(|limits| limits.urgency)
                 .filter(|urgency| *urgency != u8::MAX)
                 .or(self.route.urgency),
-            latency_target_ms: self.route.latency_target_ms.unwrap_or(0),
+            latency_slo_ms: self.route.latency_slo_ms.unwrap_or(0),
         }
     }
 
@@ -209,7 +209,7 @@
                 tenant: tenant.into(),
                 service: service.clone(),
                 prefix: self.extract.prefix_hash.unwrap_or(0),
-                homes: self.route.home_regions.clone(),
+                homes: self.route.homes.clone(),
             })),
             _ if is_past_key_cap => Ok(None),
             (None, _) => Err(RouterRejection::TenantKeyMissingInBody {
--- a/testbed/tests/dispatch_guard.rs
+++ b/testbed/tests/dispatch_guard.rs
@@ -220,7 +220,7 @@
                 deadline_ms: transport::now() + 20_000,
                 prompt: Default::default(),
                 urgency: None,
-                latency_target_ms: 0,
+                latency_slo_ms: 0,
             };
             let mut carried = RequestBody::new(Bytes::from_static(b"{\"prompt\":\"x\"}"), None);
             let answer = dispatcher
--- a/transport/src/http_server.rs
+++ b/transport/src/http_server.rs
@@ -78,7 +78,7 @@
 /// See [`HttpServerError`]; most often the address is in use.
 pub fn serve(
     address: SocketAddr,
-    max_body_bytes: usize,
+    body_limit_bytes: usize,
     handler: Handler,
 ) -> Result<HttpServer<Handler>, HttpServerError> {
     let mut api = ApiDescription::new();
@@ -100,7 +100,7 @@
     }
     let config = ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: max_body_bytes,
+        default_request_body_max_bytes: body_limit_bytes,
         default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
         ..Default::default()
     };
