--- a/testbed/src/simulated_engine.rs
+++ b/testbed/src/simulated_engine.rs
@@ -62,7 +62,7 @@
 const WARM_AFTER_RESPONSES: u32 = 24;
 /// What a warm start counts as.
 const RESPONSES_OF_WARM_START: u32 = 1000;
-const MAX_BODY_BYTES: usize = 64 << 20;
+const BODY_LIMIT_BYTES: usize = 64 << 20;
 const VITALS_PERIOD: Duration = Duration::from_millis(100);
 
 /// Serves an engine until the server is dropped.
@@ -100,7 +100,7 @@
             }
         })
     });
-    Ok(http_server::serve(address, MAX_BODY_BYTES, handler)?)
+    Ok(http_server::serve(address, BODY_LIMIT_BYTES, handler)?)
 }
 
 fn vitals(engine: &Arc<Engine>) -> Response {
