--- a/router/src/session.rs
+++ b/router/src/session.rs
@@ -126,7 +126,7 @@
         tokio::select! {
             () = next_heartbeat(&mut interval, router, last_heartbeat_ms) => {
                 last_heartbeat_ms = now();
-                let silence_ms = last_heartbeat_ms.saturating_sub(lease_renewed_ms);
+                let silence_ms = now().saturating_sub(lease_renewed_ms);
                 if silence_ms >= LEASE_TIMEOUT_MS {
                     return Err(ConversationError::NoLease { silence_ms });
                 }
