--- a/directory/src/peers/join.rs
+++ b/directory/src/peers/join.rs
@@ -37,8 +37,8 @@
         if cluster_status.leader.is_some() {
             leader_known_at_ms = now();
         }
-        let is_alone = now() > leader_known_at_ms + NO_LEADER_TIMEOUT_MS;
-        if has_no_cluster || has_moved || is_alone {
+        let is_alone = || now() > leader_known_at_ms + NO_LEADER_TIMEOUT_MS;
+        if has_no_cluster || has_moved || is_alone() {
             ask_seeds(&control).await;
         }
         let interval_ms = match has_no_cluster {
